--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -3,6 +3,7 @@
 One Balancer a proxy. The carrier calls `round(now, events, out)`: each event is the name of a method below
 and its fields; decisions go straight into `out`. Types and writer: interface.py.
 """
+
 from bisect import bisect_right
 from collections import Counter, deque
 from itertools import accumulate
@@ -11,21 +12,37 @@
 from zlib import crc32
 
 from .interface import (
-    BACK, CANCELLED, ERROR, FINGERPRINTED, FULL, GONE, IDEMPOTENT, MOOT, ON, READY, RELEASED, RESET,
-    SIDE_EFFECTING, SUCCEEDED, TIMEOUT, TRIAL, UNCONNECTED)
+    BACK,
+    CANCELLED,
+    ERROR,
+    FINGERPRINTED,
+    FULL,
+    GONE,
+    IDEMPOTENT,
+    MOOT,
+    ON,
+    READY,
+    RELEASED,
+    RESET,
+    SIDE_EFFECTING,
+    SUCCEEDED,
+    TIMEOUT,
+    TRIAL,
+    UNCONNECTED,
+)
 
 NEVER_RAN, BROKEN, WORDS = (FULL, UNCONNECTED, MOOT), (ERROR, RESET), {ON: "on", BACK: "back"}
 TOLD = SUCCEEDED, ERROR, RESET, TIMEOUT
-JUDGES = 3                  # balancers that the others tell what they saw, where messages are allowed
-GROUPS = 10                 # the paper's R
-LEAST = 20                  # outcomes per build before any vote, by all who must agree together
+JUDGES = 3  # balancers that the others tell what they saw, where messages are allowed
+GROUPS = 10  # the paper's R
+LEAST = 20  # outcomes per build before any vote, by all who must agree together
 # Slow has wider ones: a good build on a few slower machines, in a burst, went back at 0.15.
 BACK_MARGIN, ON_MARGIN, SLOW_BACK, SLOW_ON = 0.03, 0.05, 0.25, 0.2
-YOUTH = 5000.0              # a younger server's times are not its build's
-LOADED = 0.25               # weight of the earlier machines beside a build that may have all
-SETTLE = 3000.0             # after the newest start, before 'on'; at the last stage after that one is warm
-MEMORY = 6000.0             # a server's own samples older than this say nothing of it now
-COUNT = 4000.0              # over which traffic and answers in time are counted
+YOUTH = 5000.0  # a younger server's times are not its build's
+LOADED = 0.25  # weight of the earlier machines beside a build that may have all
+SETTLE = 3000.0  # after the newest start, before 'on'; at the last stage after that one is warm
+MEMORY = 6000.0  # a server's own samples older than this say nothing of it now
+COUNT = 4000.0  # over which traffic and answers in time are counted
 SWEEP = 100.0
 
 
@@ -34,14 +51,14 @@
     return min(longest, slo_time / 2) * (0.3 + 0.7 * draw)
 
 
-class Server:   # slots, and lists that begin empty: each of thousands of proxies holds all of a thousand
+class Server:  # slots, and lists that begin empty: each of thousands of proxies holds all of a thousand
     __slots__ = "zone build kind cell state heft launched flying load recent sent since".split()
 
     def __init__(self, listed, unknown={}):
         _, self.zone, self.build, self.kind, self.cell, self.state, self.heft, self.launched = listed
-        self.flying, self.load = {}, unknown        # (inv, seq) -> time sent
-        self.recent = []                            # last 16 of (time, time taken, went wrong)
-        self.sent, self.since = [], self.launched   # last 200 dispatches while cold; last start
+        self.flying, self.load = {}, unknown  # (inv, seq) -> time sent
+        self.recent = []  # last 16 of (time, time taken, went wrong)
+        self.sent, self.since = [], self.launched  # last 200 dispatches while cold; last start
 
     def health(self, now, usual, failing=0.0):
         since, times, timed, bad, fresh = now - MEMORY, 0.0, 0, 0, 0
@@ -50,23 +67,29 @@
                 fresh, bad = fresh + 1, bad + wrong
                 if took:
                     times, timed = times + took, timed + 1
-        for sent in self.flying.values():   # oldest first
+        for sent in self.flying.values():  # oldest first
             if now - sent <= 2 * usual:
                 break
             times, timed = times + now - sent, timed + 1
         return (2 * usual + times) / (2 + timed), (2 * failing + bad) / (2 + fresh)
 
 
-class Pool:     # ready servers, of earlier builds or on trial, weighed once: a draw is a search
+class Pool:  # ready servers, of earlier builds or on trial, weighed once: a draw is a search
     def __init__(self, picks, weigh, zone):
         home = [p for p in picks if p[1].zone == zone]
-        self.picks, self.draws = picks, [(some, list(accumulate(weigh(some))))
-                                         for some in (picks, home if len(home) < len(picks) else []) if some]
+        self.picks, self.draws = (
+            picks,
+            [
+                (some, list(accumulate(weigh(some))))
+                for some in (picks, home if len(home) < len(picks) else [])
+                if some
+            ],
+        )
         self.size = self.draws[0][1][-1] if picks else 0.0
-        self.part = self.draws[1][1][-1] / self.size if len(self.draws) > 1 else 1.0    # that is at home
+        self.part = self.draws[1][1][-1] / self.size if len(self.draws) > 1 else 1.0  # that is at home
 
 
-class Window:   # what came within a span, counted as it comes and goes: a dispatch must not cost a recount
+class Window:  # what came within a span, counted as it comes and goes: a dispatch must not cost a recount
     def __init__(self, span, most=None):
         self.span, self.most, self.kept, self.counts = span, most, deque(), Counter()
 
@@ -90,7 +113,7 @@
 class Invocation:
     def __init__(self, op, tenant, key, taken, deadline):
         self.op, self.tenant, self.key, self.taken, self.deadline = op, tenant, key, taken, deadline
-        self.tries = []             # [server id, zone, cell, time sent, status or None, build]
+        self.tries = []  # [server id, zone, cell, time sent, status or None, build]
 
 
 class Balancer:
@@ -99,9 +122,18 @@
         r, self.ops, self.zone, self.tick = site.rollout, site.operations, site.zone, site.tick
         self.tenants, self.over_value = site.tenants, site.over_share_value
         self.may_cancel, self.may_duplicate, self.subscribe, self.retry_advice = (
-            site.may_cancel, site.may_duplicate, site.must_subscribe, site.retry_advice)
+            site.may_cancel,
+            site.may_duplicate,
+            site.must_subscribe,
+            site.retry_advice,
+        )
         self.cross_price, self.cold_share, self.warm_within, self.overload_for, self.dispatch_cap = (
-            site.cross_zone_price, site.cold_share, site.warm_within, site.overload_for, site.dispatch_cap)
+            site.cross_zone_price,
+            site.cold_share,
+            site.warm_within,
+            site.overload_for,
+            site.dispatch_cap,
+        )
         # Half of what it stands, but not less than the fair part of its ramp, which cold_room() grants.
         self.home, self.stand = self.zone if self.cross_price else None, max(1.0, site.fall_multiple / 2)
         # Dispatches are counted over slightly more than the exposure window, intake over slightly less.
@@ -116,18 +148,21 @@
         alphas = [a / ops for a in (false / site.balancers, 0.05)]
         z2s = [NormalDist().inv_cdf(1 - a / 2) ** 2 for a in alphas]
         self.own_width, self.all_width = (
-            sqrt((1 + z2) / z2 * (-2 * log(a) + log(1 + z2))) for a, z2 in zip(alphas, z2s))
+            sqrt((1 + z2) / z2 * (-2 * log(a) + log(1 + z2))) for a, z2 in zip(alphas, z2s)
+        )
         # The least sample grows with the share of machines that an 'on' would hand over; of tallies, which
         # are few and late, with the share of traffic that the present stage gets.
         shares = *r.machine_shares[1:], 1.0
-        self.need = ([2 * LEAST * share / ons for share in shares],
-                     [2 * LEAST * share / (1 + share) / ons for share in r.machine_shares])
+        self.need = (
+            [2 * LEAST * share / ons for share in shares],
+            [2 * LEAST * share / (1 + share) / ons for share in r.machine_shares],
+        )
         self.spare = [1 - share for share in shares]
         self.judging, self.untold, self.told_at = site.may_signal and site.me < JUDGES, b"", 0.0
         self.least, self.many_backs = LEAST / backs, backs > 1
         self.votes_on = r.on_votes > 0 and not r.timed and self.judging >= site.may_signal
         self.quiet_after = SETTLE * (1 + 4 / ons) if ons > 1 else 1e18
-        self.much = LEAST * site.balancers / 2      # of one among many, whose own bad luck proves nothing
+        self.much = LEAST * site.balancers / 2  # of one among many, whose own bad luck proves nothing
         # Where one of hundreds is enough, few cast 'on': a flood would crowd out the 'back' that counts.
         self.vote_chance = 1.0 if self.judging else min(1.0, 5 * ons / site.balancers)
         self.tell = [str(j) for j in range(min(JUDGES, site.balancers)) if site.may_signal and j != site.me]
@@ -140,10 +175,10 @@
         self.at_trial, self.answered = {}, {}
         self.arrivals, self.answers, self.good = Window(COUNT, 1000), deque(maxlen=1000), deque(maxlen=1000)
         self.times, self.typical, self.zones = deque(maxlen=64), None, {}
-        self.means = [deque(maxlen=6) for _ in self.ops]    # (time, mean time taken) by operation
-        self.seen, self.tallied = {}, {}    # (build, operation) -> deque of (time, group, status, time taken)
+        self.means = [deque(maxlen=6) for _ in self.ops]  # (time, mean time taken) by operation
+        self.seen, self.tallied = {}, {}  # (build, operation) -> deque of (time, group, status, time taken)
         self.proof, self.proof_due, self.voted = None, False, None
-        self.started = {}                   # build -> start of its newest ready server
+        self.started = {}  # build -> start of its newest ready server
         self.weigh_at, self.woken, self.cut_at = 0.0, -1.0, -1e9
         self.sweep_at = self.eased_at = self.vote_at = self.vote_due = self.staged_at = 0.0
         self.rate = self.good_before = self.released_at = 0.0
@@ -185,8 +220,8 @@
                 self.started[new.build] = max(self.started.get(new.build, new.launched), new.launched)
         if kind != "changes":
             for addr in self.servers.keys() - {entry[0] for entry in entries}:
-                self.servers[addr].state = GONE     # a full list that leaves a server out has told of its end
-        self.weigh_at = 0.0     # when first needed: most news reach proxies that have nothing to send
+                self.servers[addr].state = GONE  # a full list that leaves a server out has told of its end
+        self.weigh_at = 0.0  # when first needed: most news reach proxies that have nothing to send
 
     def stage_told(self, answer, stage, since, cap, status, ver, phase):
         if answer and status != SUCCEEDED:
@@ -202,9 +237,13 @@
         if ver != self.ver:
             # The last two builds are what this one is judged against: numbers may jump, a long day has more.
             last = sorted({b for b, _ in (*self.seen, *self.tallied) if b < ver})[-2:]
-            self.untold, (self.seen, self.tallied) = b"", (
-                {k: v for k, v in some.items() if k[0] >= ver or k[0] in last}
-                for some in (self.seen, self.tallied))
+            self.untold, (self.seen, self.tallied) = (
+                b"",
+                (
+                    {k: v for k, v in some.items() if k[0] >= ver or k[0] in last}
+                    for some in (self.seen, self.tallied)
+                ),
+            )
         self.ver, self.stage, self.cap, self.phase, self.told = ver, stage, cap, phase, True
         self.weigh_at = 0.0
 
@@ -222,7 +261,8 @@
             self.means[op].append((self.now, took))
         unit = (end, int(end / 1000) % GROUPS)
         self.tallied.setdefault((build, op), deque(maxlen=400)).extend(
-            [(*unit, ERROR, None)] * bad + [(*unit, None, None if young else took)] * (attempts - bad))
+            [(*unit, ERROR, None)] * bad + [(*unit, None, None if young else took)] * (attempts - bad)
+        )
         self.proof_due = self.proof_due or build == self.ver
 
     def peer(self, sender, payload):
@@ -231,7 +271,7 @@
             self.keep(ver - 1 + (what & 1), op, what >> 4, TOLD[what >> 1 & 3], 2 ** (took / 16) * (took > 0))
 
     def contested(self, since, op, addr):
-        if addr in self.servers:    # a wrong answer that looked like any other
+        if addr in self.servers:  # a wrong answer that looked like any other
             self.note(addr, self.servers[addr], op, self.now, ERROR, None)
 
     # ---- routing: proposals only ----
@@ -253,8 +293,10 @@
         self.earliest = min((s.build for s in self.servers.values()), default=0)
         ready = [p for p in self.servers.items() if p[1].state == READY]
         trial = {build: self.on_trial(build) for build in {s.build for _, s in ready}}
-        self.pools = old, new = [Pool([p for p in ready if trial[p[1].build] == part], self.weigh, self.home)
-                                 for part in (False, True)]
+        self.pools = old, new = [
+            Pool([p for p in ready if trial[p[1].build] == part], self.weigh, self.home)
+            for part in (False, True)
+        ]
         self.heft, self.zone_count = sum(s.heft for _, s in ready) or 1.0, len({s.zone for _, s in ready})
         # At the last stage, where it may have all, a build gets most before its release: one that fails only
         # when loaded would else show it once nothing is left to go to.
@@ -332,21 +374,37 @@
 
     def may_go(self, inv):
         op, ran = self.ops[inv.op], [t for t in inv.tries if t[4] not in NEVER_RAN]
-        return (len(inv.tries) < self.dispatch_cap and inv.deadline - self.now >= self.tick
-                and not (ran and op.effect == SIDE_EFFECTING)
-                and (self.may_duplicate or all(t[4] is not None for t in ran))
-                and (op.effect != FINGERPRINTED or not ran
-                     or self.now < min(t[3] for t in ran) + op.window - 2 * self.tick))
+        return (
+            len(inv.tries) < self.dispatch_cap
+            and inv.deadline - self.now >= self.tick
+            and not (ran and op.effect == SIDE_EFFECTING)
+            and (self.may_duplicate or all(t[4] is not None for t in ran))
+            and (
+                op.effect != FINGERPRINTED
+                or not ran
+                or self.now < min(t[3] for t in ran) + op.window - 2 * self.tick
+            )
+        )
 
     def admits(self, inv, server):
         op = self.ops[inv.op]
         at, home = (1, server.zone) if op.group == "zone" else (2, server.cell)
         # Servers that stopped answering still take in: what piles up there they work through when they go on,
         # for clients long gone. One dispatch at a time until one is answered.
-        silent = server.flying and len(server.recent) > 2 and all(
-            wrong and took for _, took, wrong in server.recent[-3:])
-        if server.state != READY or silent or (op.effect == FINGERPRINTED and op.group != "all" and any(
-                t[at] != home for t in inv.tries if t[4] not in NEVER_RAN)):
+        silent = (
+            server.flying
+            and len(server.recent) > 2
+            and all(wrong and took for _, took, wrong in server.recent[-3:])
+        )
+        if (
+            server.state != READY
+            or silent
+            or (
+                op.effect == FINGERPRINTED
+                and op.group != "all"
+                and any(t[at] != home for t in inv.tries if t[4] not in NEVER_RAN)
+            )
+        ):
             return False
         if self.on_trial(server.build):
             return self.exposed(server.build, inv.op) and self.cold_room(server)
@@ -403,7 +461,7 @@
             server.sent.remove(before)
         if server.build in self.at_trial:
             self.at_trial[server.build].forget(before, inv.op)
-        tries, inv.tries = inv.tries, inv.tries[:seq] + inv.tries[seq + 1:]
+        tries, inv.tries = inv.tries, inv.tries[:seq] + inv.tries[seq + 1 :]
         fine, inv.tries = self.may_go(inv) and self.admits(inv, server), tries
         if fine:
             tried[3] = now
@@ -426,7 +484,7 @@
                 self.out.cancel(ident, seq)
 
     def outcome(self, ident, seq, addr, status, time_taken, closed, load):
-        server, inv = self.servers[addr], self.invs.get(ident)      # a server once listed stays known
+        server, inv = self.servers[addr], self.invs.get(ident)  # a server once listed stays known
         sent, server.load = server.flying.pop((ident, seq), None), load or server.load
         if inv is None:
             return
@@ -435,7 +493,7 @@
         tried[4] = status
         if server.build == tried[5] and sent is not None and status not in (MOOT, CANCELLED):
             # A failure that comes at once is not quick: it must not draw more to where it came from.
-            if status == UNCONNECTED:   # its process is gone; what answers there next is cold
+            if status == UNCONNECTED:  # its process is gone; what answers there next is cold
                 server.since, self.weigh_at = self.now, min(self.weigh_at, self.now + 4 * SWEEP)
             took = time_taken if status in (SUCCEEDED, TIMEOUT) else None
             server.recent = server.recent[-15:] + [(self.now, took, status != SUCCEEDED)]
@@ -504,8 +562,12 @@
         for ident, inv in list(self.invs.items()) if len(self.invs) <= 0.6 * self.limit else ():
             op, (addr, _, _, sent, status, _) = self.ops[inv.op], inv.tries[0]
             age = self.now - sent
-            if (op.effect == SIDE_EFFECTING or len(inv.tries) > 1 or status
-                    or not 0.3 * op.slo_time <= age <= op.slo_time):
+            if (
+                op.effect == SIDE_EFFECTING
+                or len(inv.tries) > 1
+                or status
+                or not 0.3 * op.slo_time <= age <= op.slo_time
+            ):
                 continue
             pace, fail = self.servers[addr].health(self.now, guess)
             suspect = pace > 2.5 * guess or fail > 0.4
@@ -525,25 +587,26 @@
             if len(fresh) >= 8:
                 break
         fresh = (fresh[-8:] if few else fresh) + [
-            2.0 for inv in self.invs.values() if since < inv.taken < self.now - self.ops[inv.op].slo_time]
+            2.0 for inv in self.invs.values() if since < inv.taken < self.now - self.ops[inv.op].slo_time
+        ]
         slow = sum(1 for x in fresh if x > 0.8)
         if len(fresh) >= 4 and slow > (0.35 if few else 0.2) * len(fresh):
             # Where nobody answers in time at all, what goes out piles up for when they go on: one at a time.
             least, part = (1.0, 0.5) if slow == len(fresh) else (4.0, 0.8)
-            floor = min(least, 0.25 * self.rate * self.slo_mean)    # below one: by chance
+            floor = min(least, 0.25 * self.rate * self.slo_mean)  # below one: by chance
             self.limit, self.cut_at = max(floor, part * min(self.limit, len(self.invs) + 1 + few)), self.now
         elif len(self.invs) + 1 > 0.5 * self.limit and slow < len(fresh):
             # By what is answered in half its time too, as a sender's window grows: a hundredth a sweep alone
             # leaves a fleet half idle for long after a cut.
             quick = sum(1 for x in fresh if x < 0.5) * SWEEP / max(SWEEP, self.now - since)
             self.limit = self.limit * 1.01 + 0.05 + min(0.1 * self.limit, quick / self.limit)
-        if few and (slow < len(fresh) or not fresh):     # late answers alone are no reason to ease
+        if few and (slow < len(fresh) or not fresh):  # late answers alone are no reason to ease
             self.limit *= 1.01 ** min(10, (self.now - self.eased_at) / SWEEP)
         self.eased_at = self.now
 
     def crowded(self, inv):
         if len(self.invs) + 1 <= 0.6 * self.limit:
-            return False    # the least worth gives way first: it may fill only so much of the limit
+            return False  # the least worth gives way first: it may fill only so much of the limit
         came, seen, count = self.arrivals.counts, len(self.arrivals.kept), Counter()
         for (_, tenant), n in came.items():
             count[tenant] += n
@@ -561,8 +624,11 @@
             bads[group] += w * bad
         n, x = sum(size), sum(bads)
         mean = x / n
-        jack = (GROUPS - 1) / GROUPS * sum(
-            ((x - b) / (n - m) - mean) ** 2 for m, b in zip(size, bads) if n - m > 1e-9)
+        jack = (
+            (GROUPS - 1)
+            / GROUPS
+            * sum(((x - b) / (n - m) - mean) ** 2 for m, b in zip(size, bads) if n - m > 1e-9)
+        )
         # Without failures, or with few filled groups, the jackknife vanishes: never less than a binomial's
         # with a failure and a success added, or with the usual share where a few outcomes must speak.
         real = n * n / sum(w * w for _, _, w in kept)
@@ -582,39 +648,49 @@
         """Per operation: failed or late, slower than four fifths of the earlier answers, errors, failed."""
         rows = [], [], [], []
         # The larger sample judges the trial: the platform's tallies, or what this balancer saw.
-        mine, told = (sum(len(kept) for (b, _), kept in source.items() if b == self.ver)
-                      for source in (self.seen, self.tallied))
+        mine, told = (
+            sum(len(kept) for (b, _), kept in source.items() if b == self.ver)
+            for source in (self.seen, self.tallied)
+        )
         ops, pooled = range(len(self.ops)), self.phase == TRIAL and told > mine
         source = self.tallied if pooled else self.seen
         self.width = self.all_width if pooled or self.judging else self.own_width
-        earlier = lambda source, op: [k for (b, o), kept in source.items() if o == op and b < self.ver
-                                      for k in kept]
+        earlier = lambda source, op: [
+            k for (b, o), kept in source.items() if o == op and b < self.ver for k in kept
+        ]
         known = [k[2] == ERROR for op in ops for k in earlier(self.seen, op)]
         usual = (sum(known) + 1) / (len(known) + 2) if self.many_backs else None
         late = lambda k, than: (exp(-than / k[3]) if pooled else k[3] > than) if k[3] else 0.0
         pair = lambda mark, two, *usual: self.compare(
-            *([(k[1], mark(k), k[4]) for k in kept] for kept in two), *usual)
+            *([(k[1], mark(k), k[4]) for k in kept] for kept in two), *usual
+        )
         for op in ops:
             # Against bursts and slowdowns of all servers at once: the earlier build's outcomes weigh as much
             # in each two seconds as the new one's do there; what has no counterpart is left out.
             new, old = source.get((self.ver, op), ()), earlier(source, op)
             news, olds = (Counter(k[0] // 2000 for k in kept) for kept in (new, old))
-            both = ([(*k, 1) for k in new if k[0] // 2000 in olds],
-                    [(*k, news[k[0] // 2000] / olds[k[0] // 2000]) for k in old if k[0] // 2000 in news])
+            both = (
+                [(*k, 1) for k in new if k[0] // 2000 in olds],
+                [(*k, news[k[0] // 2000] / olds[k[0] // 2000]) for k in old if k[0] // 2000 in news],
+            )
             times = sorted(k[3] for k in both[1] if k[3])
             mark = times[int(0.8 * len(times))] if times else 0.0
-            mark = 1.6 * sum(times) / len(times) if pooled and times else mark     # of exponential times
+            mark = 1.6 * sum(times) / len(times) if pooled and times else mark  # of exponential times
             slo = 0.9 * self.ops[op].slo_time
             rows[0].append(pair(lambda k: 1.0 if k[2] in BROKEN else late(k, slo), both))
-            fair = ([], []) if self.loaded and self.stage else both     # under more load any is slower
+            fair = ([], []) if self.loaded and self.stage else both  # under more load any is slower
             rows[1].append(pair(lambda k: late(k, mark), [[k for k in kept if k[3]] for kept in fair]))
             # Not resets, which a broken link brings any build; since the stage began, lest idle ones hide it.
             own = [(*k, 1) for k in self.seen.get((self.ver, op), ()) if k[0] > self.staged_at]
             old = [(*k, 1) for k in earlier(self.seen, op)]
             # And of the last seconds alone: a release told late leaves idle ones of the trial in the count.
             last = [k for k in own if k[0] > self.now - MEMORY]
-            rows[2].append(max((pair(lambda k: k[2] == ERROR, (some, old), usual) for some in (own, last)),
-                               key=lambda row: row[2]))
+            rows[2].append(
+                max(
+                    (pair(lambda k: k[2] == ERROR, (some, old), usual) for some in (own, last)),
+                    key=lambda row: row[2],
+                )
+            )
             rows[3].append(pair(lambda k: k[2] in BROKEN, both))
         return pooled, *rows
 
@@ -633,26 +709,36 @@
             self.proof, self.proof_due = (self.now, *self.evidence()), False
         _, pooled, wrong, slow, hard, failed = self.proof
         verdict, newest = None, self.started.get(self.ver, self.now) + self.loaded * self.warm_within
-        step = min(self.stage, len(self.spare) - 1)     # against news of more stages than the settings had
+        step = min(self.stage, len(self.spare) - 1)  # against news of more stages than the settings had
         proven = lambda rows, margin: any(row[2] > margin for row in rows)
         # After a release the last answers of draining machines are no fair sample to be late or slow by.
-        if (self.phase == TRIAL and (proven(wrong, BACK_MARGIN) or proven(slow, SLOW_BACK))
-                or proven(hard, BACK_MARGIN) or self.collapsed()):
+        if (
+            self.phase == TRIAL
+            and (proven(wrong, BACK_MARGIN) or proven(slow, SLOW_BACK))
+            or proven(hard, BACK_MARGIN)
+            or self.collapsed()
+        ):
             verdict = BACK
         elif self.phase == TRIAL and self.votes_on:
             quiet, seen = self.now >= newest + self.quiet_after, sum(row[0] for row in wrong)
             # Late and slow answers of a burst are forgiven by their error, the less the more is handed over;
             # one failure in all, not one an operation: against builds that fail a little of each.
             excess = sum(n * d + (not self.many_backs) for n, d, _, error in failed if error) - 1
-            fine = excess < ON_MARGIN * seen and all(d - part * error < most for part, most, rows in (
-                (0, ON_MARGIN, failed), (self.spare[step], ON_MARGIN, wrong),
-                (self.spare[step], SLOW_ON, slow)) for _, d, _, error in rows)
+            fine = excess < ON_MARGIN * seen and all(
+                d - part * error < most
+                for part, most, rows in (
+                    (0, ON_MARGIN, failed),
+                    (self.spare[step], ON_MARGIN, wrong),
+                    (self.spare[step], SLOW_ON, slow),
+                )
+                for _, d, _, error in rows
+            )
             if (quiet or seen >= self.need[pooled][step]) and fine and self.now >= newest + SETTLE:
                 self.sort_pools()
                 verdict = ON if self.pools[1].picks and self.chance() < self.vote_chance else None
         self.vote_due = self.now + (2 if self.invs else 10) * SWEEP
         if verdict:
-            if (verdict, self.ver, self.stage) != self.voted:     # first: the vote carries what it rests on
+            if (verdict, self.ver, self.stage) != self.voted:  # first: the vote carries what it rests on
                 seen = " ".join(f"{n:.0f}/{d:.2f}/{low:.2f}" for n, d, low, _ in wrong + slow + hard)
                 self.out.log(f"{WORDS[verdict]} build {self.ver} stage {self.stage}: {seen}")
             self.out.vote(self.stage, self.ver, verdict)
