--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -1,20 +1,26 @@
-"""When a stage moves and what a vote counts for. No I/O: events in, decisions into a writer, once a round.
+"""The rollout state machine: when a build's stage changes and which votes count. No I/O.
 
-`Stages.round(now, events, out)`; events are tuples of a method's name and its fields:
+`Stages.round(now, events, out)` applies events once a round and writes its decisions to `out`. Times are in
+ms. An event is a tuple of a method's name and its arguments:
   offered(ver) · node(slot, ready) · gone(slot) · vote(proxy, number, stage, ver, verdict) · heard(proxy) ·
   frozen(why or None) · order(number, kind, build, by, why): an operator's offer, hold, resume or back
-The writer gets: place(slot, ver, zone, cell, warm) · remove(slot) · stage() · answer(proxy, number, status) ·
-ordered(number, fine, text) · log(what, facts). One build is on trial at a time; one offered meanwhile sends it back first
-or waits for its end, as set. Nothing but a move on is ever held up: votes 'back' and an operator's take-back always count. 'hold' is said
-by proxies that see a site away which carries the build: while most of those that are there say so, earlier votes 'on' move nothing.
+The writer implements: place(slot, ver, zone, cell, warm) · remove(slot) · stage() ·
+answer(proxy, number, status) · ordered(number, accepted, text) · log(what, facts).
+
+One build is on trial at a time. A build that is offered meanwhile rolls back the trial or waits for its end,
+depending on `supersede`. Only promotion is ever held up: BACK votes and an operator's rollback always count.
+Proxies vote HOLD while a site that carries the build is unreachable for them; while a majority of the present
+proxies vote HOLD, earlier ON votes promote nothing.
 """
 
 from ..interface import BACK, FULL, GOING_BACK, HOLD, MOOT, NO_VOTE, ON, RELEASED, SUCCEEDED, TRIAL, WITHDRAWN
 
-RUNNING_BY = 8000.0  # a stage's clock starts by then though some of its nodes do not run
+NODE_START_TIMEOUT = 8000.0  # ms; after it a stage proceeds although some of its nodes are not ready
 
 
 class Slot:
+    """A place for one node of one build in the fleet."""
+
     def __init__(self, slot, ver, zone, cell):
         self.slot, self.ver, self.zone, self.cell, self.ready, self.leaving = (
             slot,
@@ -27,35 +33,43 @@
 
 
 class Stages:
+    """State of the rollout: slots of the fleet, build on trial, stage, votes and known proxies."""
+
     def __init__(
-        self, facts, size, zones, cell_size, lease=None, known_for=600000.0, quorum=0.0, supersede=True
+        self, rollout, size, zones, cell_size, lease=None, known_for=600000.0, quorum=0.0, supersede=True
     ):
-        """`facts` is an interface.Rollout with `vote_allowance` beside it; `size` nodes in `zones` zones, at rest. A proxy is
-        there while it was heard within `lease` ms (None: all always are), known for `known_for`; a stage moves on while
-        `quorum` of the known ones are there."""
+        """`rollout` is an interface.Rollout with an additional `vote_allowance` (votes a second); the fleet
+        at rest has `size` nodes in `zones` zones. A proxy is present if it was heard from within `lease` ms
+        (None: always) and is forgotten after `known_for` ms. A stage is promoted only while `quorum` (a
+        fraction) of the known proxies are present."""
         self.lease, self.known_for, self.quorum, self.supersede = lease, known_for, quorum, supersede
-        self.members, self.held, self.freeze, self.waits_for = {}, None, None, None
-        self.shares, self.caps, self.soak, self.life = (
-            facts.machine_shares,
-            facts.caps,
-            facts.soak,
-            facts.vote_life,
+        self.members, self.held, self.freeze_reason, self.block_reason = {}, None, None, None
+        self.machine_shares, self.caps, self.soak, self.life = (
+            rollout.machine_shares,
+            rollout.caps,
+            rollout.soak,
+            rollout.vote_life,
+        )
+        self.on_votes, self.back_votes, self.notify_interval = (
+            rollout.on_votes,
+            rollout.back_votes,
+            rollout.told_every,
         )
-        self.on_votes, self.back_votes, self.told_every = facts.on_votes, facts.back_votes, facts.told_every
-        self.allowance, self.tokens = facts.vote_allowance, [(2 * facts.vote_allowance, 0.0)] * 2
+        self.allowance, self.tokens = rollout.vote_allowance, [(2 * rollout.vote_allowance, 0.0)] * 2
         self.size, self.zones, self.cell_size = size, zones, cell_size
         self.slots, self.next_slot, self.queue, self.votes = {}, 0, [], {}
-        self.ver, self.released, self.phase, self.stage = 1, 1, RELEASED, len(facts.caps) - 1
-        self.now = self.since = self.placed = self.told = 0.0
+        self.ver, self.released, self.phase, self.stage = 1, 1, RELEASED, len(rollout.caps) - 1
+        self.now = self.since = self.placed = self.notified_at = 0.0
         self.clock, self.figures = None, {}
 
     cap = property(lambda self: {TRIAL: self.caps[self.stage], RELEASED: 1.0}.get(self.phase, 0.0))
 
     def saved(self):
-        """All that a restart must know, as plain values; spans, not clock readings."""
+        """The state that must survive a restart, as JSON values. Times are stored as elapsed ms, because
+        clock readings mean nothing to another process."""
 
-        def span(t):
-            return None if t is None else self.now - t
+        def elapsed_since(timestamp):
+            return None if timestamp is None else self.now - timestamp
 
         return dict(
             ver=self.ver,
@@ -63,37 +77,46 @@
             phase=self.phase,
             stage=self.stage,
             queue=self.queue,
-            since=span(self.since),
-            placed=span(self.placed),
-            clock=span(self.clock),
+            since=elapsed_since(self.since),
+            placed=elapsed_since(self.placed),
+            clock=elapsed_since(self.clock),
             next_slot=self.next_slot,
-            votes=[[proxy, v, span(at)] for proxy, (v, at) in sorted(self.votes.items())],
+            votes=[
+                [proxy, verdict, elapsed_since(cast_at)]
+                for proxy, (verdict, cast_at) in sorted(self.votes.items())
+            ],
             slots=[[s.slot, s.ver, s.zone, s.cell, s.leaving] for _, s in sorted(self.slots.items())],
-            members=[[proxy, span(at)] for proxy, at in sorted(self.members.items())],
+            members=[[proxy, elapsed_since(seen_at)] for proxy, seen_at in sorted(self.members.items())],
             held=self.held,
         )
 
-    def restore(self, now, saved, away):
-        """Takes up where `saved` was, `away` ms ago: the stage's clock and the votes' lives went on meanwhile."""
+    def restore(self, now, saved, downtime):
+        """Restores the state `saved` that was written `downtime` ms ago. The soak time and the lifetimes of
+        the votes went on during the downtime."""
         self.now = now
 
-        def at(span):
-            return None if span is None else now - away - span
+        def timestamp(elapsed):
+            return None if elapsed is None else now - downtime - elapsed
 
         self.ver, self.released, self.phase, self.stage = (
-            saved[k] for k in ("ver", "released", "phase", "stage")
+            saved[key] for key in ("ver", "released", "phase", "stage")
         )
         self.queue, self.next_slot = list(saved["queue"]), saved["next_slot"]
-        self.since, self.placed, self.clock = at(saved["since"]), at(saved["placed"]), at(saved["clock"])
-        self.votes = {proxy: (v, at(span)) for proxy, v, span in saved["votes"]}
-        self.members = {proxy: at(span) for proxy, span in saved.get("members", ())}
+        self.since, self.placed, self.clock = (
+            timestamp(saved["since"]),
+            timestamp(saved["placed"]),
+            timestamp(saved["clock"]),
+        )
+        self.votes = {proxy: (verdict, timestamp(elapsed)) for proxy, verdict, elapsed in saved["votes"]}
+        self.members = {proxy: timestamp(elapsed) for proxy, elapsed in saved.get("members", ())}
         self.held = saved.get("held")
         for slot, ver, zone, cell, leaving in saved["slots"]:
             self.slots[slot] = Slot(slot, ver, zone, cell)
             self.slots[slot].leaving = leaving
 
     def again(self, out):
-        """What machines that come (back) must know: places they have already are passed over by them."""
+        """Repeats all placements and removals for machines that have (re)connected; they ignore placements
+        that they already have."""
         for _, s in sorted(self.slots.items()):
             if s.leaving:
                 out.remove(s.slot)
@@ -101,15 +124,16 @@
                 out.place(s.slot, s.ver, s.zone, s.cell, False)
 
     def round(self, now, events, out):
+        """Applies `events` in order, then makes the transition that is due; decisions go to `out`."""
         self.now, self.out = now, out
         for name, *fields in events:
             getattr(self, name)(*fields)
-        self.move()
-        if now - self.told >= self.told_every:
-            self.tell()
+        self.apply_transitions()
+        if now - self.notified_at >= self.notify_interval:
+            self.notify()
 
-    def tell(self):
-        self.told = self.now
+    def notify(self):
+        self.notified_at = self.now
         self.out.stage()
 
     def enter(self, phase, stage, why):
@@ -123,41 +147,46 @@
         )
         self.figures = {}
         self.out.log("stage", dict(build=self.ver, stage=stage, phase=phase, cap=self.cap, why=why))
-        self.tell()
+        self.notify()
 
     # ---- events ----
 
     def begin(self):
-        """The fleet at rest: its slots are numbered from 0, warm."""
-        self.fill(1, self.size, True)
+        """Places the fleet at rest: warm nodes of build 1, slots numbered from 0."""
+        self.place_nodes(1, self.size, True)
 
     def offered(self, ver):
+        """A build is offered by a pipeline or an operator; ignored unless newer than the current one."""
         if ver > self.ver and ver not in self.queue:
             self.queue.append(ver)
             self.queue.sort()
 
     def node(self, slot, ready):
+        """The node in `slot` is running; `ready` says whether it accepts invocations."""
         if slot in self.slots:
             self.slots[slot].ready = ready
 
     def gone(self, slot):
-        """Its place is empty for good only if it was told to leave: else its machine starts it anew."""
+        """The node in `slot` has ended. The slot is freed only if its removal was ordered: otherwise its
+        machine restarts the node."""
         if slot in self.slots:
             self.slots[slot].ready = False
             if self.slots[slot].leaving:
                 del self.slots[slot]
 
     def vote(self, proxy, number, stage, ver, verdict, figures=""):
-        # 'back' has an allowance of its own: a flood of 'on' must not crowd out the one that counts.
-        kind = verdict == BACK
-        tokens, filled = self.tokens[kind]
-        tokens = min(2 * self.allowance, tokens + (self.now - filled) * self.allowance / 1000)
-        self.tokens[kind] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
+        """A proxy's verdict on a build; answered with SUCCEEDED, with MOOT if the vote does not apply to the
+        present stage, or with FULL above the rate limit. `figures` is the evidence as text, for the log."""
+        # BACK votes have a token bucket of their own: a flood of ON votes must not crowd them out.
+        bucket = verdict == BACK
+        tokens, refilled_at = self.tokens[bucket]
+        tokens = min(2 * self.allowance, tokens + (self.now - refilled_at) * self.allowance / 1000)
+        self.tokens[bucket] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
         self.heard(proxy)
         if tokens < 1:
             self.out.answer(proxy, number, FULL)
             return
-        fits = ver == self.ver and (
+        valid = ver == self.ver and (
             verdict in (ON, HOLD)
             and self.phase == TRIAL
             and stage == self.stage
@@ -166,163 +195,177 @@
             and self.phase in (TRIAL, RELEASED)
             and self.ver > 1
         )
-        if fits:
-            again = verdict == HOLD and self.votes.get(proxy, (None,))[0] == HOLD
+        if valid:
+            repeated_hold = verdict == HOLD and self.votes.get(proxy, (None,))[0] == HOLD
             self.votes[proxy] = verdict, self.now
             self.figures[proxy] = figures
-            if not again:
+            if not repeated_hold:
                 self.out.log(
                     "vote", dict(proxy=proxy, stage=stage, build=ver, verdict=verdict, figures=figures)
                 )
-        self.out.answer(proxy, number, SUCCEEDED if fits else MOOT)
+        self.out.answer(proxy, number, SUCCEEDED if valid else MOOT)
 
-    def kept_waiting(self):
-        """Most of the proxies that are there say that a site that carries the build is not whole: one alone may see wrong."""
-        return 2 * len(self.standing(HOLD)) > sum(map(self.there, self.members))
+    def majority_holds(self):
+        """True if a majority of the present proxies vote HOLD. A single proxy may be wrong about a site."""
+        return 2 * len(self.valid_votes(HOLD)) > sum(map(self.present, self.members))
 
     def heard(self, proxy):
+        """A sign of life from a proxy; renews its lease."""
         self.members[proxy] = self.now
 
     def frozen(self, why):
-        self.freeze = why
+        """A calendar freeze began for the reason `why`, or ended (None)."""
+        self.freeze_reason = why
 
     def order(self, number, kind, build, by, why):
-        fine, text = getattr(self, "to_" + kind)(build, by, why)
-        self.out.log("order", dict(kind=kind, build=build, by=by, why=why, done=fine, answer=text))
-        self.out.ordered(number, fine, text)
+        """An operator's order of kind offer, hold, resume or back; `by` and `why` go into the log."""
+        accepted, text = getattr(self, "to_" + kind)(build, by, why)
+        self.out.log("order", dict(kind=kind, build=build, by=by, why=why, done=accepted, answer=text))
+        self.out.ordered(number, accepted, text)
+
+    # Each `to_` method carries out one kind of order and returns (accepted, text for the operator).
 
     def to_offer(self, build, by, why):
         if build <= self.ver or build in self.queue:
-            return False, f"build {build} is not newer than what was offered before"
+            return False, f"build {build} is not newer than the current build, or is queued already"
         self.offered(build)
         return True, f"build {build} is offered"
 
     def to_hold(self, build, by, why):
         self.held = [by, why]
-        return True, "no stage moves on until it is resumed"
+        return True, "promotion is on hold until it is resumed"
 
     def to_resume(self, build, by, why):
         if not self.held:
-            return False, "nothing is on hold"
+            return False, "promotion is not on hold"
         self.held = None
-        return True, "stages move on again"
+        return True, "promotion is resumed"
 
     def to_back(self, build, by, why):
         if build != self.ver or self.phase not in (TRIAL, RELEASED) or self.ver < 2:
-            return False, f"build {build} is neither on trial nor the one released"
-        self.take_back(f"{by}: {why}")
-        return True, f"build {build} goes back"
+            return False, f"build {build} is neither on trial nor the released build"
+        self.roll_back(f"{by}: {why}")
+        return True, f"build {build} is being rolled back"
 
-    # ---- who is there ----
+    # ---- presence of the proxies ----
 
-    def there(self, proxy):
+    def present(self, proxy):
         return self.lease is None or self.now - self.members.get(proxy, -1e18) <= self.lease
 
     def blocked(self):
-        """Why no stage moves on and no trial begins just now, or None."""
+        """The reason for which no stage may be promoted and no trial may begin at present, or None."""
         if self.held:
             return "held by {}: {}".format(*self.held)
-        if self.freeze:
-            return f"frozen: {self.freeze}"
+        if self.freeze_reason:
+            return f"frozen: {self.freeze_reason}"
         if self.lease is not None:
-            # Against a stage that moves on by the word of a few while the rest do not even hear of it.
-            for proxy in [p for p, at in self.members.items() if self.now - at > self.known_for]:
+            # Without a quorum a few connected proxies could promote a stage unknown to all others.
+            for proxy in [p for p, seen_at in self.members.items() if self.now - seen_at > self.known_for]:
                 del self.members[proxy]
-            there = sum(map(self.there, self.members))
-            if there < self.quorum * len(self.members):
-                return f"{there} of {len(self.members)} proxies in touch"
+            present = sum(map(self.present, self.members))
+            if present < self.quorum * len(self.members):
+                return f"{present} of {len(self.members)} proxies in touch"
         return None
 
-    def enough(self):
-        """Votes 'on' that a move needs: a proxy that has vanished does not hold it up."""
+    def required_on_votes(self):
+        """Number of ON votes that a promotion needs; never more than there are present proxies, so that
+        vanished ones do not block it."""
         if self.lease is None:
             return self.on_votes
-        return min(self.on_votes, max(1, sum(map(self.there, self.members))))
+        return min(self.on_votes, max(1, sum(map(self.present, self.members))))
 
-    # ---- moves ----
+    # ---- transitions ----
 
-    def fill(self, ver, target, warm=False):
-        have = sum(s.ver == ver and not s.leaving for s in self.slots.values())
-        for n in range(have, target):
+    def place_nodes(self, ver, target, warm=False):
+        """Places nodes of build `ver` until `target` of them are placed and not leaving."""
+        count = sum(s.ver == ver and not s.leaving for s in self.slots.values())
+        for n in range(count, target):
             slot = self.next_slot
             self.next_slot += 1
             self.slots[slot] = Slot(slot, ver, n % self.zones, n // self.cell_size)
             self.out.place(slot, ver, n % self.zones, n // self.cell_size, warm)
 
-    def empty(self, ver):
+    def remove_nodes(self, ver):
         for slot in self.slots.values():
             if slot.ver == ver and not slot.leaving:
                 slot.leaving = True
                 self.out.remove(slot.slot)
 
-    def standing(self, verdict):
+    def valid_votes(self, verdict):
+        """The present proxies whose latest vote is `verdict` and has not expired."""
         return [
             proxy
-            for proxy, (v, at) in self.votes.items()
-            if v == verdict and self.now - at < self.life and self.there(proxy)
+            for proxy, (latest, cast_at) in self.votes.items()
+            if latest == verdict and self.now - cast_at < self.life and self.present(proxy)
         ]
 
-    def said(self, verdict):
-        """Who stands for it and by what figures, for those who read the reason later: the first few of many."""
-        who = sorted(self.standing(verdict))
-        return "; ".join(f"proxy {p} {self.figures.get(p, '')}".strip() for p in who[:5]) + (
-            f"; and {len(who) - 5} more" if len(who) > 5 else ""
+    def describe_votes(self, verdict):
+        """The voters and their figures as text for the log; at most five of them are named."""
+        voters = sorted(self.valid_votes(verdict))
+        return "; ".join(f"proxy {p} {self.figures.get(p, '')}".strip() for p in voters[:5]) + (
+            f"; and {len(voters) - 5} more" if len(voters) > 5 else ""
         )
 
-    def move(self):
-        new = [s for s in self.slots.values() if s.ver == self.ver]
-        if self.phase in (TRIAL, RELEASED) and self.ver > 1 and len(self.standing(BACK)) >= self.back_votes:
-            self.take_back(self.said(BACK))
+    def apply_transitions(self):
+        current = [s for s in self.slots.values() if s.ver == self.ver]
+        if (
+            self.phase in (TRIAL, RELEASED)
+            and self.ver > 1
+            and len(self.valid_votes(BACK)) >= self.back_votes
+        ):
+            self.roll_back(self.describe_votes(BACK))
         elif self.phase == TRIAL:
             if self.queue and self.supersede:
-                self.take_back("the next build is due")
+                self.roll_back("superseded by the next build")
             elif self.clock is None:
-                if all(s.ready for s in new) or self.now - self.placed >= RUNNING_BY:
+                if all(s.ready for s in current) or self.now - self.placed >= NODE_START_TIMEOUT:
                     self.clock = self.now
             elif (
                 self.now - self.clock >= self.soak
-                and len(self.standing(ON)) >= self.enough()
-                and self.free()
-                and not self.kept_waiting()
+                and len(self.valid_votes(ON)) >= self.required_on_votes()
+                and self.may_promote()
+                and not self.majority_holds()
             ):
-                self.advance()
+                self.promote()
         elif self.phase == GOING_BACK:
-            # Where the earlier machines have gone, new ones come first: the fleet is never without.
-            back = [s for s in self.slots.values() if s.ver == self.released and not s.leaving]
-            if sum(s.ready for s in back) >= self.size or self.now - self.placed >= RUNNING_BY:
-                self.empty(self.ver)
-                if not new:
-                    self.enter(WITHDRAWN, self.stage, "its machines are gone")
-        if self.phase in (RELEASED, WITHDRAWN) and self.queue and self.free():
+            # Where nodes of the previous build were already removed, their replacements start first: the
+            # fleet must never be empty.
+            previous = [s for s in self.slots.values() if s.ver == self.released and not s.leaving]
+            if sum(s.ready for s in previous) >= self.size or self.now - self.placed >= NODE_START_TIMEOUT:
+                self.remove_nodes(self.ver)
+                if not current:
+                    self.enter(WITHDRAWN, self.stage, "all of its nodes have ended")
+        if self.phase in (RELEASED, WITHDRAWN) and self.queue and self.may_promote():
             if self.phase == RELEASED:
                 self.released = self.ver
             self.ver = self.queue.pop(0)
             self.out.log("offered", dict(build=self.ver))
             self.enter(TRIAL, 0, "offered")
-            self.grow()
+            self.place_stage_nodes()
 
-    def free(self):
-        """True where a move that is due may be made; else what it waits for is told once."""
-        why, before, self.waits_for = self.blocked(), self.waits_for, None
+    def may_promote(self):
+        """True if a transition that is due may be made; otherwise each new reason for the wait is logged
+        once."""
+        why, before, self.block_reason = self.blocked(), self.block_reason, None
         if why:
-            self.waits_for = why
+            self.block_reason = why
             if why != before:
                 self.out.log("waits", dict(build=self.ver, why=why))
         return not why
 
-    def grow(self):
-        self.fill(self.ver, max(1, round(self.shares[self.stage] * self.size)))
+    def place_stage_nodes(self):
+        self.place_nodes(self.ver, max(1, round(self.machine_shares[self.stage] * self.size)))
 
-    def advance(self):
-        why = self.said(ON) or "by the clock"
+    def promote(self):
+        why = self.describe_votes(ON) or "soak time elapsed"
         if self.stage + 1 < len(self.caps):
             self.enter(TRIAL, self.stage + 1, why)
-            self.grow()
+            self.place_stage_nodes()
         else:
             self.enter(RELEASED, self.stage, why)
-            self.empty(self.released)
+            self.remove_nodes(self.released)
 
-    def take_back(self, why):
+    def roll_back(self, why):
         self.out.log("back", dict(build=self.ver, why=why))
         self.enter(GOING_BACK, self.stage, why)
-        self.fill(self.released, self.size)
+        self.place_nodes(self.released, self.size)
