--- a/gannetfront/release/scripted.py
+++ b/gannetfront/release/scripted.py
@@ -1,26 +1,37 @@
-"""What a day script does to the controller: offers, news told late, links cut; and its records."""
+"""Carries out a day script's disturbances of the controller (offers, delayed news, cut links) and keeps its
+records."""
 
 from .. import host
 
 
 class Scripted:
-    def __init__(self, day, folder, start, who="release"):
+    """The part of a day script that concerns one controller process. Without a day it disturbs nothing;
+    without a folder it records nothing."""
+
+    def __init__(self, day, folder, start, process_name="release"):
+        """`start` is the clock reading (ms) at which the day begins; `process_name` becomes part of the
+        file names."""
         self.day, self.start, self.done = day, start, host.Once()
-        self.tell = self.events = None
+        self.notifications = self.events = None
         if folder:
             from ..records import Table
 
-            self.tell, self.events = Table(folder, "told", who), Table(folder, "events", who)
+            self.notifications, self.events = (
+                Table(folder, "told", process_name),
+                Table(folder, "events", process_name),
+            )
 
     def late(self):
+        """Delay (ms) that the script imposes at present on news from the controller."""
         now = host.now() - self.start
         return max([t.ms for t in self.day.during("report_late", now)], default=0.0) if self.day else 0.0
 
     def told(self, at, proxy, message):
-        if not self.tell:
+        """Records that `message` (a Stage or a NodeList) was sent to `proxy` at `at` ms."""
+        if not self.notifications:
             return
         if message.DESCRIPTOR.name == "Stage":
-            self.tell.add(
+            self.notifications.add(
                 at,
                 proxy,
                 "stage",
@@ -36,9 +47,9 @@
             )
             return
         if message.whole:
-            self.tell.add(at, proxy, "whole", True, message.revision, "", 0, 0, "", 0, 0.0, 0)
+            self.notifications.add(at, proxy, "whole", True, message.revision, "", 0, 0, "", 0, 0.0, 0)
         for node in message.nodes:
-            self.tell.add(
+            self.notifications.add(
                 at,
                 proxy,
                 "node",
@@ -54,29 +65,32 @@
             )
 
     def play(self, controller):
+        """Schedules the day's offers and link cuts, and records the events of `controller`."""
         if not self.day:
             return
         if self.events:
             controller.story = lambda what, facts: self.events.add(
                 host.now(), what, str(facts.get("proxy", facts.get("build", ""))), repr(facts)
             )
-        for nth, offer in enumerate(self.day.offers if not self.day.release["hooks"] else ()):
-            host.later(self.start + offer.at - host.now(), controller.event, "offered", nth + 2)
+        # Build 1 is the fleet at rest, so the first offer is build 2.
+        for index, offer in enumerate(self.day.offers if not self.day.release["hooks"] else ()):
+            host.later(self.start + offer.at - host.now(), controller.event, "offered", index + 2)
         for trouble in self.day.troubles:
             if trouble.kind == "cut":
                 host.later(self.start + trouble.at - host.now(), self.cut, controller, trouble)
 
     def cut(self, controller, trouble):
-        """Links break and whoever comes back meanwhile is turned away."""
-        struck = {str(n) for n in self.day.struck(trouble, self.day.proxies)}
-        controller.barred |= struck
-        for ident in struck & set(controller.links):
-            controller.links[ident].stream.reset()
+        """Resets the links of the affected proxies and refuses their reconnection until the cut ends."""
+        affected = {str(n) for n in self.day.struck(trouble, self.day.proxies)}
+        controller.barred |= affected
+        for proxy_id in affected & set(controller.links):
+            controller.links[proxy_id].stream.reset()
         host.sleep(self.start + trouble.until - host.now())
-        controller.barred -= struck
+        controller.barred -= affected
 
     def close(self):
-        if self.tell:
-            self.tell.close()
+        """Finishes the records and releases whoever waits for `done`."""
+        if self.notifications:
+            self.notifications.close()
             self.events.close()
         self.done.set()
