--- a/gannetfront/release/calendar.py
+++ b/gannetfront/release/calendar.py
@@ -1,49 +1,61 @@
-"""Times in which no stage moves on, without I/O: spans of dates and weekly ones, in UTC."""
+"""The freeze calendar: periods in which no stage is promoted, as date ranges or weekly ranges in UTC. No
+I/O."""
 
 from datetime import datetime, timezone
 
-DAYS = "mon tue wed thu fri sat sun".split()
-WEEK = 7 * 1440
+WEEKDAYS = "mon tue wed thu fri sat sun".split()
+MINUTES_PER_WEEK = 7 * 1440
 
 
 def date(text):
-    """Seconds of the calendar clock for '2026-12-24 18:00' or '2026-12-24', UTC; raises ValueError."""
+    """Converts '2026-12-24 18:00' or '2026-12-24' (UTC) to Unix time in seconds; raises ValueError."""
     try:
         return datetime.fromisoformat(text).replace(tzinfo=timezone.utc).timestamp()
     except ValueError:
-        raise ValueError(f"'{text}' is no date as 2026-12-24 18:00") from None
+        raise ValueError(f"'{text}' is not a date of the form 2026-12-24 18:00") from None
 
 
-def minute(text):
-    """Minutes into the week for 'fri 18:00'; raises ValueError."""
-    day, _, clock = text.strip().lower().partition(" ")
-    hour, _, rest = clock.partition(":")
-    if day not in DAYS or not (hour + rest).isdigit() or len(rest) != 2 or int(hour) > 24 or int(rest) > 59:
-        raise ValueError(f"'{text}' is no time of a week as fri 18:00")
-    return (DAYS.index(day) * 1440 + int(hour) * 60 + int(rest)) % WEEK
+def minute_of_week(text):
+    """Converts 'fri 18:00' to minutes since Monday 00:00; raises ValueError."""
+    day, _, time = text.strip().lower().partition(" ")
+    hour, _, minute = time.partition(":")
+    if (
+        day not in WEEKDAYS
+        or not (hour + minute).isdigit()
+        or len(minute) != 2
+        or int(hour) > 24
+        or int(minute) > 59
+    ):
+        raise ValueError(f"'{text}' is not a time of the week of the form fri 18:00")
+    return (WEEKDAYS.index(day) * 1440 + int(hour) * 60 + int(minute)) % MINUTES_PER_WEEK
 
 
 class Calendar:
+    """The configured freezes of one controller."""
+
     def __init__(self, freezes):
-        """`freezes` have `begin`, `end` and `why`: two dates, or two times of the week. Raises ValueError."""
-        self.spans, self.weekly = [], []
-        for f in freezes:
-            if f.begin[:3].lower() in DAYS:
-                self.weekly.append((minute(f.begin), minute(f.end), f.why))
+        """Each freeze has `begin`, `end` and `why`: two dates, or two times of the week. Raises
+        ValueError."""
+        self.date_ranges, self.weekly_ranges = [], []
+        for freeze in freezes:
+            if freeze.begin[:3].lower() in WEEKDAYS:
+                self.weekly_ranges.append(
+                    (minute_of_week(freeze.begin), minute_of_week(freeze.end), freeze.why)
+                )
                 continue
-            begin, end = date(f.begin), date(f.end)
+            begin, end = date(freeze.begin), date(freeze.end)
             if end <= begin:
-                raise ValueError(f"a freeze that ends at {f.end}, before it begins at {f.begin}")
-            self.spans.append((begin, end, f.why))
+                raise ValueError(f"freeze ends at {freeze.end}, before its begin at {freeze.begin}")
+            self.date_ranges.append((begin, end, freeze.why))
 
-    def frozen(self, wall):
-        """Why nothing moves on at `wall` (seconds of the calendar clock), or None."""
-        for begin, end, why in self.spans:
-            if begin <= wall < end:
+    def frozen(self, unix_time):
+        """The reason of the freeze in force at `unix_time` (seconds), or None."""
+        for begin, end, why in self.date_ranges:
+            if begin <= unix_time < end:
                 return why
-        at = (wall / 60 + 3 * 1440) % WEEK  # the calendar clock began on a Thursday
-        for begin, end, why in self.weekly:
-            # One that ends before it begins goes over the end of the week.
-            if begin <= at < end if begin < end else at >= begin or at < end:
+        minute = (unix_time / 60 + 3 * 1440) % MINUTES_PER_WEEK  # 1970-01-01 was a Thursday
+        for begin, end, why in self.weekly_ranges:
+            # A range whose end precedes its begin wraps around the end of the week.
+            if begin <= minute < end if begin < end else minute >= begin or minute < end:
                 return why
         return None
