--- a/gannetfront/release/turns.py
+++ b/gannetfront/release/turns.py
@@ -1,42 +1,59 @@
-"""Which of several controllers acts, without I/O: by a beat that the acting one leaves in the store, watched on each one's
-own clock. Calendar time has no part in it: a clock that is stepped moves no turn.
+"""Leader election among several controllers that share a store. No I/O.
 
-The acting one stops by itself when it could not renew for `lease` ms; another takes its turn after `patience` ms without a
-beat, which is longer. What a paused one still sends after that carries the epoch of its turn, and is refused for it.
-"""
+The leader increments a heartbeat counter in the store; each standby watches it by its own monotonic clock.
+The calendar clock plays no part, so that stepping it cannot cause a change of leader. A leader that could
+not renew for `lease` ms stops acting by itself; a standby takes over after `takeover_timeout` ms without a
+heartbeat, which is longer. What a paused former leader sends after that carries its old epoch and is
+refused for it."""
 
 
 class Turn:
-    def __init__(self, name, patience):
-        """`name` is this controller's own in its settings; `patience` in ms."""
-        self.name, self.patience, self.lease, self.renew_every = (
+    """One controller's view of the leader's lease."""
+
+    def __init__(self, name, takeover_timeout):
+        """`name` is unique among the controllers of one store; `takeover_timeout` in ms."""
+        self.name, self.takeover_timeout, self.lease, self.renew_every = (
             name,
-            patience,
-            0.6 * patience,
-            0.15 * patience,
+            takeover_timeout,
+            0.6 * takeover_timeout,
+            0.15 * takeover_timeout,
+        )
+        self.epoch, self.renewed, self.last_state, self.changed_at, self.first_poll = (
+            None,
+            -1e18,
+            None,
+            0.0,
+            True,
         )
-        self.epoch, self.renewed, self.seen, self.changed, self.first = None, -1e18, None, 0.0, True
 
-    def look(self, now, epoch, holder, beat):
-        """True where the turn that the store shows (epoch, holder's name or '', beat) may be taken over now."""
-        first, self.first = self.first, False
-        if (epoch, holder, beat) != self.seen:
-            self.seen, self.changed = (epoch, holder, beat), now
-        # An orderly end leaves no holder. One's own name, at the start, is an earlier life's: nobody else has it. Only at
-        # the start, or two that were given one name by mistake would take it from each other for ever.
-        return not holder or first and holder == self.name or now - self.changed >= self.patience
+    def look(self, now, epoch, leader, heartbeat):
+        """Takes the store's state (epoch, leader's name or '', heartbeat), read at `now` ms; True if this
+        controller may take over now."""
+        first_poll, self.first_poll = self.first_poll, False
+        if (epoch, leader, heartbeat) != self.last_state:
+            self.last_state, self.changed_at = (epoch, leader, heartbeat), now
+        # An orderly shutdown leaves no leader. This controller's own name at the first poll stems from its
+        # previous process. Later polls must not accept it: two controllers configured with one name by
+        # mistake would take the lease from each other forever.
+        return (
+            not leader or first_poll and leader == self.name or now - self.changed_at >= self.takeover_timeout
+        )
 
     def taken(self, begun, now, epoch):
+        """The lease was acquired under `epoch` by a write that took from `begun` until `now` (ms)."""
         self.epoch = epoch
         self.kept(begun, now)
 
     def kept(self, begun, now):
-        """A sign was left in the store, by a write that took from `begun` until `now`. Others may have seen it at its very
-        beginning, so that a slow disk, or a stop before the write's return was noticed, must not make this turn longer."""
-        self.renewed = min(now, begun + self.patience - self.lease)
+        """The lease was renewed by a write that took from `begun` until `now` (ms). Standbys may have seen
+        the heartbeat at the very beginning of the write; therefore a slow disk, or a pause before its
+        return was noticed, must not extend the lease."""
+        self.renewed = min(now, begun + self.takeover_timeout - self.lease)
 
     def lost(self, now):
-        self.epoch, self.seen, self.changed = None, None, now
+        """Another controller has taken over."""
+        self.epoch, self.last_state, self.changed_at = None, None, now
 
     def acts(self, now):
+        """True while this controller's lease is valid."""
         return self.epoch is not None and now - self.renewed <= self.lease
