--- a/gannetfront/release/outbox.py
+++ b/gannetfront/release/outbox.py
@@ -1,8 +1,8 @@
-"""Webhooks out, without I/O: what goes to a receiver next, and when what failed is tried again.
+"""Outgoing webhooks: which message is sent next, and when a failed one is retried. No I/O.
 
-In order for each build: a message waits until the one before it is delivered or given up. Every wait is bounded; what is
-given up lies among the dead letters, where an operator sees it and may send it again.
-"""
+Messages about one build are delivered in order: each waits until the one before it is delivered or given
+up. All waits are bounded. A message that is given up becomes a dead letter, which an operator can list and
+send again."""
 
 import base64
 import hmac
@@ -12,74 +12,90 @@
 
 
 class Outbox:
-    """One receiver. `round(now, events, out)` with added(number, build, tries) · delivered(number) · failed(number, why,
-    for_good); the writer gets send(number) · keep(number, tries, state, why), state one of due, done, dead."""
-
-    def __init__(self, chance, most_tries, first_wait, longest_wait, at_once):
-        """`chance.random()` spreads what is tried again; waits in ms; `at_once` builds are served side by side."""
-        self.chance, self.most_tries, self.first, self.longest = chance, most_tries, first_wait, longest_wait
-        self.at_once = at_once
+    """The messages for one receiver. `round(now, events, out)` accepts the events added(number, build,
+    attempts) · delivered(number) · failed(number, why, permanent). The writer implements send(number) ·
+    keep(number, attempts, state, why), where state is one of due, done and dead."""
+
+    def __init__(self, random, max_attempts, first_wait, longest_wait, max_in_flight):
+        """`random.random()` spreads the retries; waits are in ms; messages of up to `max_in_flight` builds
+        are sent concurrently."""
+        self.random, self.max_attempts, self.first_wait, self.longest_wait = (
+            random,
+            max_attempts,
+            first_wait,
+            longest_wait,
+        )
+        self.max_in_flight = max_in_flight
         self.forget()
 
     def round(self, now, events, out):
-        """Returns the time of the next thing due, or None."""
+        """Applies `events` and sends what is due at `now`. Returns the time (ms) of the next retry, or
+        None."""
         self.now, self.out = now, out
         for name, *fields in events:
             getattr(self, name)(*fields)
         next_due = None
-        for build in sorted(self.builds):
-            line = self.builds[build]
-            if not line:
-                del self.builds[build]
+        for build in sorted(self.queues):
+            queue = self.queues[build]
+            if not queue:
+                del self.queues[build]
                 continue
-            number, _, due = line[0]
-            if build in self.flying:
+            number, _, due = queue[0]
+            if build in self.in_flight:
                 continue
-            if due <= now and len(self.flying) < self.at_once:
-                self.flying.add(build)
+            if due <= now and len(self.in_flight) < self.max_in_flight:
+                self.in_flight.add(build)
                 out.send(number)
             elif due > now:
                 next_due = due if next_due is None else min(due, next_due)
         return next_due
 
     def forget(self):
-        self.builds, self.flying, self.build_of = {}, set(), {}
+        """Drops all messages from memory; the owner adds them again from the store."""
+        self.queues, self.in_flight, self.build_of = {}, set(), {}
 
     def __len__(self):
         return len(self.build_of)
 
-    def added(self, number, build, tries):
+    def added(self, number, build, attempts):
+        """Queues a message that was attempted `attempts` times; one that is queued already is ignored."""
         if number not in self.build_of:
             self.build_of[number] = build
-            line = self.builds.setdefault(build, [])
-            line.append((number, tries, self.now))
-            line.sort()  # a dead letter sent again may have the lower number
+            queue = self.queues.setdefault(build, [])
+            queue.append((number, attempts, self.now))
+            queue.sort()  # a dead letter that is sent again may have the lower number
 
-    def end(self, number, *kept):
+    def finish(self, number, *outcome):
         build = self.build_of.pop(number)
-        self.builds[build] = [x for x in self.builds[build] if x[0] != number]
-        self.flying.discard(build)
-        self.out.keep(number, *kept)
+        self.queues[build] = [entry for entry in self.queues[build] if entry[0] != number]
+        self.in_flight.discard(build)
+        self.out.keep(number, *outcome)
 
-    def head(self, number):
-        line = self.builds[self.build_of[number]]
-        return next(n for n, x in enumerate(line) if x[0] == number), line
+    def find(self, number):
+        """(index in its build's queue, that queue) of a message."""
+        queue = self.queues[self.build_of[number]]
+        return next(index for index, entry in enumerate(queue) if entry[0] == number), queue
 
     def delivered(self, number):
-        at, line = self.head(number)
-        self.end(number, line[at][1] + 1, "done", "")
-
-    def failed(self, number, why, for_good=False):
-        at, line = self.head(number)
-        tries = line[at][1] + 1
-        if for_good or tries >= self.most_tries:
-            self.end(number, tries, "dead", why)
+        """The receiver accepted the message."""
+        index, queue = self.find(number)
+        self.finish(number, queue[index][1] + 1, "done", "")
+
+    def failed(self, number, why, permanent=False):
+        """An attempt failed; the message is retried unless the failure is permanent or its attempts are
+        used up."""
+        index, queue = self.find(number)
+        attempts = queue[index][1] + 1
+        if permanent or attempts >= self.max_attempts:
+            self.finish(number, attempts, "dead", why)
             return
-        self.flying.discard(self.build_of[number])
-        # Spread over half its length: receivers that were down are not met by all messages at one moment.
-        wait = min(self.longest, self.first * 2 ** min(tries - 1, 30)) * (0.5 + self.chance.random())
-        line[at] = number, tries, self.now + wait
-        self.out.keep(number, tries, "due", why)
+        self.in_flight.discard(self.build_of[number])
+        # Jitter of 0.5 to 1.5: a receiver that comes back must not get all messages at one moment.
+        delay = min(self.longest_wait, self.first_wait * 2 ** min(attempts - 1, 30)) * (
+            0.5 + self.random.random()
+        )
+        queue[index] = number, attempts, self.now + delay
+        self.out.keep(number, attempts, "due", why)
 
 
 TYPES = {
@@ -90,23 +106,25 @@
 }
 
 
-def body_of(kind, facts, wall):
-    """Bytes of the event; they are kept, so that each try sends the same ones."""
-    return json.dumps(dict(type=kind, timestamp=wall, data=facts), sort_keys=True)
+def body_of(kind, facts, unix_time):
+    """The event as JSON text. It is stored, so that each attempt sends the same bytes."""
+    return json.dumps(dict(type=kind, timestamp=unix_time, data=facts), sort_keys=True)
 
 
-def headers_of(number, body, secret, wall):
-    """Standard Webhooks: a stable id, the time of this try, the signature over both and the body."""
-    ident, at = f"msg_{number}", int(wall)
-    digest = hmac.digest(secret, f"{ident}.{at}.".encode() + body, "sha256")
+def headers_of(number, body, secret, unix_time):
+    """Headers after Standard Webhooks: a stable id, the time of this attempt, and the signature over both
+    and the body."""
+    message_id, timestamp = f"msg_{number}", int(unix_time)
+    digest = hmac.digest(secret, f"{message_id}.{timestamp}.".encode() + body, "sha256")
     return [
         (b"content-type", b"application/json"),
-        (b"webhook-id", ident.encode()),
-        (b"webhook-timestamp", b"%d" % at),
+        (b"webhook-id", message_id.encode()),
+        (b"webhook-timestamp", b"%d" % timestamp),
         (b"webhook-signature", b"v1," + base64.b64encode(digest)),
     ]
 
 
 def judged(status):
-    """(delivered, for good) for a receiver's answer: only 'gone' says that no repeat is wanted (Standard Webhooks)."""
+    """(delivered, permanent failure) for an HTTP status: after Standard Webhooks only 410 Gone rules out a
+    retry."""
     return 200 <= status < 300, status == 410
