--- a/gannetfront/benchlink/__main__.py
+++ b/gannetfront/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Plays any number of balancers on the simulator's wire: batches on standard input, replies on standard output."""
+"""Runs balancers for the simulator: reads batches from standard input, writes replies to standard output."""
 
 import sys
 
@@ -7,69 +7,77 @@
 
 
 class Link:
+    """The balancers of one simulation, each known by the instance name that the simulator uses."""
+
     def __init__(self):
-        self.balancers, self.writers, self.facts, self.banks = {}, {}, {}, {}
+        self.balancers, self.writers, self.deployments, self.tables = {}, {}, {}, {}
 
     def batch(self, lines):
-        """Answers the lines of one batch, from 'round' to before 'commit'."""
+        """Applies the lines of one batch, from 'round' to before 'commit', and returns the lines of the
+        reply. Raises BadLine for a malformed line and for a round that fails."""
         try:
-            now, queue, extra, order, i = float(lines[0].split(" ")[1]), {}, [], [], None
+            now, events, reply, order, instance = float(lines[0].split(" ")[1]), {}, [], [], None
         except (ValueError, IndexError):
             raise codec.BadLine(
                 f"a batch begins with round and its clock, not {' '.join(lines)[:60]!r}"
             ) from None
-        at = 1
-        while at < len(lines):
-            line = lines[at]
-            at += 1
+        index = 1
+        while index < len(lines):
+            line = lines[index]
+            index += 1
             try:
-                p = line.split(" ")
-                name = p[0]
+                words = line.split(" ")
+                name = words[0]
                 if name == "on":
-                    i = p[1]
-                    if i not in queue:
-                        queue[i] = []
-                        order.append(i)
+                    instance = words[1]
+                    if instance not in events:
+                        events[instance] = []
+                        order.append(instance)
                 elif name == "table":
-                    size = int(p[2])
-                    self.banks[int(p[1])] = tuple(codec.entry(e.split(" ")) for e in lines[at : at + size])
-                    at += size
+                    size = int(words[2])
+                    self.tables[int(words[1])] = tuple(
+                        codec.parse_entry(entry.split(" ")) for entry in lines[index : index + size]
+                    )
+                    index += size
                 elif name == "start":
-                    info = line.split(" ", 2)[2]
-                    facts = self.facts[i] = codec.deployment(info)
-                    self.balancers[i], self.writers[i] = Balancer(int(p[1]), facts), codec.LineWriter()
-                    queue[i] = []
+                    settings = line.split(" ", 2)[2]
+                    deployment = self.deployments[instance] = codec.parse_deployment(settings)
+                    self.balancers[instance], self.writers[instance] = (
+                        Balancer(int(words[1]), deployment),
+                        codec.LineWriter(),
+                    )
+                    events[instance] = []
                 elif name == "power_off":
-                    self.balancers.pop(i, None)
-                    queue[i] = []
-                elif i in self.balancers:
-                    told = codec.event(p, self.banks, self.facts[i])
-                    if told is None:
-                        self.writers[i].log(f"unknown event {name[:40]}")
+                    self.balancers.pop(instance, None)
+                    events[instance] = []
+                elif instance in self.balancers:
+                    event = codec.parse_event(words, self.tables, self.deployments[instance])
+                    if event is None:
+                        self.writers[instance].log(f"unknown event {name[:40]}")
                     else:
-                        queue[i].append(told)
-            except (ValueError, IndexError, KeyError, TypeError) as trouble:
-                raise codec.BadLine(
-                    f"cannot read '{line[:60]}': {type(trouble).__name__} {trouble}"
-                ) from None
-        for i in order:
-            if i in self.balancers:
-                out = self.writers[i]
+                        events[instance].append(event)
+            except (ValueError, IndexError, KeyError, TypeError) as error:
+                raise codec.BadLine(f"cannot read '{line[:60]}': {type(error).__name__} {error}") from None
+        for instance in order:
+            if instance in self.balancers:
+                out = self.writers[instance]
                 try:
-                    self.balancers[i].round(now, queue[i], out)
-                except Exception as trouble:  # noqa: BLE001 - said with whose round it was, of how many events
-                    told = " ".join(sorted({event[0] for event in queue[i]}))
+                    self.balancers[instance].round(now, events[instance], out)
+                except Exception as error:  # noqa: BLE001 - reraised with the instance and its events
+                    kinds = " ".join(sorted({event[0] for event in events[instance]}))
                     raise codec.BadLine(
-                        f"round of {i} at {now:.3f} ({told}): {type(trouble).__name__} {trouble}"
-                    ) from trouble
-                lines_out = out.take()
-                if lines_out:
-                    extra.append("at " + i)
-                    extra.extend(lines_out)
-        return extra
+                        f"round of {instance} at {now:.3f} ({kinds}): {type(error).__name__} {error}"
+                    ) from error
+                decisions = out.take()
+                if decisions:
+                    reply.append("at " + instance)
+                    reply.extend(decisions)
+        return reply
 
 
 def main():
+    """Answers each batch that ends with 'commit'. An error becomes an exception line of the reply,
+    addressed to the first instance of the batch."""
     link, lines, out = Link(), [], sys.stdout
     for line in sys.stdin:
         line = line.rstrip("\n")
@@ -79,10 +87,10 @@
             continue
         try:
             reply = link.batch(lines)
-        except Exception as trouble:  # noqa: BLE001 - the wire wants the reason, never a traceback
-            some = next((x.split(" ")[1] for x in lines if x.startswith("on ")), None)
-            reason = f"{type(trouble).__name__}: {trouble}".replace("\n", " ")[:200]
-            reply = ([f"at {some}"] if some else []) + [f"exception {reason}"]
+        except Exception as error:  # noqa: BLE001 - the protocol carries the reason, not a traceback
+            instance = next((x.split(" ")[1] for x in lines if x.startswith("on ")), None)
+            reason = f"{type(error).__name__}: {error}".replace("\n", " ")[:200]
+            reply = ([f"at {instance}"] if instance else []) + [f"exception {reason}"]
         out.write("\n".join(reply + ["end"]) + "\n")
         out.flush()
         lines = []
--- a/gannetfront/benchlink/codec.py
+++ b/gannetfront/benchlink/codec.py
@@ -1,4 +1,5 @@
-"""The simulator's wire (opal-1007): text lines to the events of interface.py and decisions back to lines."""
+"""Codec of the simulator's protocol (opal-1007): converts text lines to the events of interface.py, and
+decisions back to lines. Also reads the settings that come with a start line."""
 
 import json
 
@@ -35,7 +36,7 @@
 EFFECT = {"retryable": IDEMPOTENT, "dedup": FINGERPRINTED, "fragile": SIDE_EFFECTING}
 READINESS = {"Ready": READY, "Terminating": DRAINING, "Gone": GONE}
 LIST_KIND = {"diff": "changes", "snapshot": "whole", "disk": "kept", "error": "failed"}
-REPORT = {
+REPORT_FIELD = {
     "rif": "inflight",
     "q": "queue",
     "busy": "busy",
@@ -46,253 +47,280 @@
 
 
 class BadLine(Exception):
-    pass
+    """A line cannot be read, or the round of a balancer failed; the message names which."""
 
 
-def number(text, absent=0.0):
-    return absent if text == "-" else float(text)
+def parse_number(text, default=0.0):
+    """`default` stands for '-', the protocol's sign for an absent value; raises ValueError."""
+    return default if text == "-" else float(text)
 
 
-def whole(text, absent=0):
-    return absent if text == "-" else int(text)
+def parse_integer(text, default=0):
+    """Like parse_number, for integers."""
+    return default if text == "-" else int(text)
 
 
 class BadSetting(ValueError):
-    """Names the setting, what it must be and what it was."""
+    """A setting is missing or invalid; the message names it, what it must be and its value."""
 
 
-class Part:
-    """An object among the settings, read field by field: unknown names are skipped, wrong values named."""
+class Section:
+    """One object of the settings. Unknown fields are ignored; an invalid value raises BadSetting."""
 
-    def __init__(self, raw, where):
-        if not isinstance(raw, dict):
-            raise BadSetting(f"{where[:-1]}: must be an object, not {str(raw)[:40]!r}")
-        self.raw, self.where = {name: value for name, value in raw.items() if value is not None}, where
+    def __init__(self, values, path):
+        """`path` ends with a dot; it precedes the field's name in error messages."""
+        if not isinstance(values, dict):
+            raise BadSetting(f"{path[:-1]}: must be an object, not {str(values)[:40]!r}")
+        self.values, self.path = {name: value for name, value in values.items() if value is not None}, path
 
-    def wrong(self, name, what):
-        was = f"not {str(self.raw[name])[:40]!r}" if name in self.raw else "and is missing"
-        raise BadSetting(f"{self.where}{name}: must be {what}, {was}")
+    def fail(self, name, requirement):
+        actual = f"not {str(self.values[name])[:40]!r}" if name in self.values else "and is missing"
+        raise BadSetting(f"{self.path}{name}: must be {requirement}, {actual}")
 
-    def part(self, name):
-        return Part(self.raw.get(name, {}), f"{self.where}{name}.")
+    def section(self, name):
+        return Section(self.values.get(name, {}), f"{self.path}{name}.")
 
-    def some(self, name):
-        some = self.raw.get(name, [])
-        return some if isinstance(some, list) else self.wrong(name, "a list")
+    def items(self, name):
+        items = self.values.get(name, [])
+        return items if isinstance(items, list) else self.fail(name, "a list")
 
-    def parts(self, name):
-        return [Part(one, f"{self.where}{name}[{n}].") for n, one in enumerate(self.some(name))]
+    def sections(self, name):
+        return [Section(item, f"{self.path}{name}[{n}].") for n, item in enumerate(self.items(name))]
 
-    def figure(self, name, absent, most=1e15):
-        """A number from 0 to `most`; `absent` stands where it is missing."""
-        value = self.raw.get(name, absent)
-        if type(value) not in (int, float) or not 0 <= value <= most:
-            self.wrong(name, f"a number from 0 to {most:g}")
+    def number(self, name, default, maximum=1e15):
+        """A number from 0 to `maximum`."""
+        value = self.values.get(name, default)
+        if type(value) not in (int, float) or not 0 <= value <= maximum:
+            self.fail(name, f"a number from 0 to {maximum:g}")
         return value
 
-    def span(self, name):
-        """A number that must be there and above 0: others are divided by it."""
-        return self.figure(name, 0) or self.wrong(name, "a number above 0")
+    def positive_number(self, name):
+        """A required number above 0; other figures are divided by it."""
+        return self.number(name, 0) or self.fail(name, "a number above 0")
 
-    def count(self, name, absent):
-        value = self.figure(name, absent, 10**9)
-        return int(value) if value == int(value) else self.wrong(name, "a whole number")
+    def integer(self, name, default):
+        value = self.number(name, default, 10**9)
+        return int(value) if value == int(value) else self.fail(name, "a whole number")
 
-    def shares(self, name):
-        some = self.some(name) or [1.0]
-        if any(type(x) not in (int, float) or not 0 <= x <= 1 for x in some):
-            self.wrong(name, "a list of numbers from 0 to 1")
-        return tuple(some)
+    def fractions(self, name):
+        items = self.items(name) or [1.0]
+        if any(type(item) not in (int, float) or not 0 <= item <= 1 for item in items):
+            self.fail(name, "a list of numbers from 0 to 1")
+        return tuple(items)
 
 
-def deployment(text):
+def parse_deployment(text):
+    """The Deployment for settings as JSON text; raises BadSetting or json.JSONDecodeError."""
     return facts(json.loads(text))
 
 
-def facts(raw):
-    """The Deployment that settings as an object stand for, wherever they came from; BadSetting names what is wrong."""
-    site = Part(raw, "settings.")
-    allowed, rules, fam, fees = (site.part(name) for name in ("ceilings", "rules", "familyInfo", "fees"))
-    # What a word that is not known here may mean is taken as the strictest one: run once, one cell.
+def facts(settings):
+    """The Deployment for settings as an object from any source; raises BadSetting."""
+    root = Section(settings, "settings.")
+    ceilings, rules, family, fees = (
+        root.section(name) for name in ("ceilings", "rules", "familyInfo", "fees")
+    )
+    # An unknown value means the strictest behaviour: a side effect that must not repeat, one cell.
     operations = tuple(
         Operation(
-            str(c.raw.get("name", "")),
-            EFFECT.get(c.raw.get("semantics"), SIDE_EFFECTING),
-            c.span("aimMs"),
-            c.span("giveUpMs"),
-            c.figure("worth", 1.0),
-            c.figure("lateWorth", 0.0, 1.0),
-            c.figure("dedupWindowMs", 0.0),
-            c.raw.get("group", "cell"),
+            str(item.values.get("name", "")),
+            EFFECT.get(item.values.get("semantics"), SIDE_EFFECTING),
+            item.positive_number("aimMs"),
+            item.positive_number("giveUpMs"),
+            item.number("worth", 1.0),
+            item.number("lateWorth", 0.0, 1.0),
+            item.number("dedupWindowMs", 0.0),
+            item.values.get("group", "cell"),
         )
-        for c in site.parts("classes")
-    ) or site.wrong("classes", "a list of at least one class")
-    caps, shares = fam.shares("stageCap"), fam.shares("shares")
-    if len(caps) != len(shares):
-        fam.wrong("shares", f"as many as stageCap, {len(caps)}")
+        for item in root.sections("classes")
+    ) or root.fail("classes", "a list of at least one class")
+    caps, machine_shares = family.fractions("stageCap"), family.fractions("shares")
+    if len(caps) != len(machine_shares):
+        family.fail("shares", f"as many as stageCap, {len(caps)}")
     rollout = Rollout(
         caps,
-        shares,
-        fam.figure("soakMs", 0.0),
-        fam.figure("exposureWindowMs", 0.0),
-        fam.figure("spareTries", 0.0),
-        fam.raw.get("counts") == "each_class",
-        fam.count("guardedStages", 0),
-        bool(fam.raw.get("noReturn")),
-        fam.count("toAdvance", 0),
-        fam.count("backVotes", 0),
-        fam.count("toPause", 0),
-        fam.raw.get("decidedBy") == "automatic",
-        fam.figure("voteTtlMs", 0.0),
-        fam.figure("answerWaitMs", 0.0),
-        fam.figure("repeatEveryMs", 0.0),
-        fam.figure("metricsPeriodMs", 0.0),
-        fam.figure("sampledShare", 0.0, 1.0),
-        fam.figure("reportedShare", 0.0, 1.0),
-        fam.figure("lagFee", 0.0),
-        fam.figure("harmPrice", 0.0),
+        machine_shares,
+        family.number("soakMs", 0.0),
+        family.number("exposureWindowMs", 0.0),
+        family.number("spareTries", 0.0),
+        family.values.get("counts") == "each_class",
+        family.integer("guardedStages", 0),
+        bool(family.values.get("noReturn")),
+        family.integer("toAdvance", 0),
+        family.integer("backVotes", 0),
+        family.integer("toPause", 0),
+        family.values.get("decidedBy") == "automatic",
+        family.number("voteTtlMs", 0.0),
+        family.number("answerWaitMs", 0.0),
+        family.number("repeatEveryMs", 0.0),
+        family.number("metricsPeriodMs", 0.0),
+        family.number("sampledShare", 0.0, 1.0),
+        family.number("reportedShare", 0.0, 1.0),
+        family.number("lagFee", 0.0),
+        family.number("harmPrice", 0.0),
     )
     return Deployment(
-        max(1, site.count("balancers", 1)),
-        site.count("me", 0),
-        site.count("myZone", 0),
+        max(1, root.integer("balancers", 1)),
+        root.integer("me", 0),
+        root.integer("myZone", 0),
         operations,
-        tuple((t.figure("portion", 0.0), t.figure("quotaPerS", 0.0)) for t in site.parts("realms")),
-        site.figure("overShareWorth", 1.0),
+        tuple(
+            (tenant.number("portion", 0.0), tenant.number("quotaPerS", 0.0))
+            for tenant in root.sections("realms")
+        ),
+        root.number("overShareWorth", 1.0),
         rollout,
-        bool(allowed.raw.get("probing")),
-        bool(allowed.raw.get("mayTell")),
-        bool(allowed.raw.get("cancel")),
-        bool(allowed.raw.get("mayDuplicate")),
-        allowed.figure("maxRetryAfterMs", 0.0) if allowed.raw.get("retryAfter") else 0.0,
-        allowed.count("sendCap", 1),
-        site.raw.get("membershipMode") == "subscribe",
-        tuple(REPORT.get(f, f) for f in map(str, site.part("report").some("fields"))),
-        fees.figure("crossZone", 0.0),
-        rules.figure("drainGraceMs", 0.0),
-        rules.figure("coldShare", 1.0, 1.0),
-        rules.figure("warmWithinMs", 0.0),
-        rules.figure("fallMultiple", 1.0),
-        rules.figure("overloadForMs", 1.0),
-        site.figure("tickMs", 1.0),
+        bool(ceilings.values.get("probing")),
+        bool(ceilings.values.get("mayTell")),
+        bool(ceilings.values.get("cancel")),
+        bool(ceilings.values.get("mayDuplicate")),
+        ceilings.number("maxRetryAfterMs", 0.0) if ceilings.values.get("retryAfter") else 0.0,
+        ceilings.integer("sendCap", 1),
+        root.values.get("membershipMode") == "subscribe",
+        tuple(REPORT_FIELD.get(field, field) for field in map(str, root.section("report").items("fields"))),
+        fees.number("crossZone", 0.0),
+        rules.number("drainGraceMs", 0.0),
+        rules.number("coldShare", 1.0, 1.0),
+        rules.number("warmWithinMs", 0.0),
+        rules.number("fallMultiple", 1.0),
+        rules.number("overloadForMs", 1.0),
+        root.number("tickMs", 1.0),
     )
 
 
-def among(text, some, what):
-    """An index into one of the settings' lists."""
-    at = whole(text)
-    if not 0 <= at < len(some):
-        raise ValueError(f"{what} {at} of {len(some)}")
-    return at
+def parse_index(text, items, what):
+    """An index into one of the settings' lists; raises ValueError if it is out of range."""
+    index = parse_integer(text)
+    if not 0 <= index < len(items):
+        raise ValueError(f"{what} {index} of {len(items)}")
+    return index
 
 
-def report(fields, text):
+def parse_report(fields, text):
+    """A node's load report as {field: value}; absent values are left out."""
     if text == "-":
         return {}
-    return {f: float(v) for f, v in zip(fields, text.split(",")) if v and v != "-"}
+    return {field: float(value) for field, value in zip(fields, text.split(",")) if value and value != "-"}
 
 
-def entry(p):
+def parse_entry(words):
+    """One entry of a node table, from its line split into words."""
     return (
-        p[1],
-        whole(p[2]),
-        whole(p[3]),
-        whole(p[4]),
-        whole(p[5]),
-        READINESS.get(p[6], GONE),
-        number(p[7], 1.0),
-        number(p[8]),
+        words[1],
+        parse_integer(words[2]),
+        parse_integer(words[3]),
+        parse_integer(words[4]),
+        parse_integer(words[5]),
+        READINESS.get(words[6], GONE),
+        parse_number(words[7], 1.0),
+        parse_number(words[8]),
     )
 
 
-def event(p, banks, facts):
-    """Turns a split line into (Balancer method, fields...), or None for a name this codec does not know."""
-    name, fields = p[0], facts.report_fields
+def parse_event(words, tables, deployment):
+    """Converts a line split into words to (Balancer method, arguments...), or to None for an unknown name.
+    `tables` are the node tables of the batch. Raises ValueError, IndexError or KeyError for a malformed
+    line."""
+    name, fields = words[0], deployment.report_fields
     if name == "inbound":
         return (
             "invocation",
-            int(p[1]),
-            None if p[2] == "-" else p[2],
-            among(p[5], facts.operations, "class"),
-            whole(p[6]),
-            number(p[7]),
+            int(words[1]),
+            None if words[2] == "-" else words[2],
+            parse_index(words[5], deployment.operations, "class"),
+            parse_integer(words[6]),
+            parse_number(words[7]),
         )
     if name == "reply":
         return (
             "outcome",
-            int(p[1]),
-            int(p[4]),
-            p[3],
-            STATUS.get(p[6], ERROR),
-            number(p[2]),
-            p[5] == "1",
-            report(fields, p[7]),
+            int(words[1]),
+            int(words[4]),
+            words[3],
+            STATUS.get(words[6], ERROR),
+            parse_number(words[2]),
+            words[5] == "1",
+            parse_report(fields, words[7]),
         )
     if name == "announce":
-        kind = LIST_KIND.get(p[3], "failed")
-        return ("listed", kind, () if kind == "failed" else banks[int(p[1])])
+        kind = LIST_KIND.get(words[3], "failed")
+        return ("listed", kind, () if kind == "failed" else tables[int(words[1])])
     if name == "ship_state":
         return (
             "stage_told",
-            p[1] == "1",
-            among(p[2], facts.rollout.caps, "stage"),
-            number(p[3]),
-            number(p[4]),
-            STATUS.get(p[5], ERROR),
-            whole(p[6]),
-            whole(p[7]),
+            words[1] == "1",
+            parse_index(words[2], deployment.rollout.caps, "stage"),
+            parse_number(words[3]),
+            parse_number(words[4]),
+            STATUS.get(words[5], ERROR),
+            parse_integer(words[6]),
+            parse_integer(words[7]),
         )
     if name == "tally":
         return (
             "tally",
-            whole(p[1]),
-            number(p[2]),
-            whole(p[3]),
-            number(p[4]),
-            among(p[5], facts.operations, "class"),
-            whole(p[6]),
+            parse_integer(words[1]),
+            parse_number(words[2]),
+            parse_integer(words[3]),
+            parse_number(words[4]),
+            parse_index(words[5], deployment.operations, "class"),
+            parse_integer(words[6]),
         )
     if name == "fired":
-        return ("timer", p[1])
+        return ("timer", words[1])
     if name == "client_gone":
-        return ("client_gone", int(p[1]))
+        return ("client_gone", int(words[1]))
     if name == "probed":
-        return ("probed", p[1], STATUS.get(p[2], ERROR), number(p[3]), report(fields, p[4]))
+        return (
+            "probed",
+            words[1],
+            STATUS.get(words[2], ERROR),
+            parse_number(words[3]),
+            parse_report(fields, words[4]),
+        )
     if name == "contested":
-        return ("contested", number(p[1]), among(p[2], facts.operations, "class"), p[3])
+        return (
+            "contested",
+            parse_number(words[1]),
+            parse_index(words[2], deployment.operations, "class"),
+            words[3],
+        )
     if name == "peer":
-        return ("peer", whole(p[1]), b"" if p[2] == "-" else bytes.fromhex(p[2]))
+        return ("peer", parse_integer(words[1]), b"" if words[2] == "-" else bytes.fromhex(words[2]))
     if name == "begun":
-        return ("begun", int(p[1]), int(p[2]), p[3], number(p[4]))
+        return ("begun", int(words[1]), int(words[2]), words[3], parse_number(words[4]))
     return None
 
 
 class LineWriter:
-    """One per instance: keeps the lines of a reply until the batch is answered."""
+    """The Writer of one balancer: collects its decisions as lines until the batch is answered."""
 
     def __init__(self):
         self.lines = []
 
     def take(self):
+        """Returns the collected lines and starts anew."""
         lines, self.lines = self.lines, []
         return lines
 
-    def dispatch(self, inv, server, time_limit):
-        self.lines.append(f"route {inv} {server} {time_limit:.3f}")
+    def dispatch(self, invocation, server, time_limit):
+        self.lines.append(f"route {invocation} {server} {time_limit:.3f}")
 
-    def cancel(self, inv, seq):
-        self.lines.append(f"drop_attempt {inv} {seq}")
+    def cancel(self, invocation, seq):
+        self.lines.append(f"drop_attempt {invocation} {seq}")
 
-    def throttle(self, inv, retry_in):
+    def throttle(self, invocation, retry_after):
         self.lines.append(
-            f"overload_reply {inv} {retry_in:.3f}" if retry_in > 0 else f"overload_reply {inv} -"
+            f"overload_reply {invocation} {retry_after:.3f}"
+            if retry_after > 0
+            else f"overload_reply {invocation} -"
         )
 
-    def terminate(self, inv):
-        self.lines.append(f"abort {inv}")
+    def terminate(self, invocation):
+        self.lines.append(f"abort {invocation}")
 
-    def vote(self, stage, ver, verdict):
-        self.lines.append(f"cast_vote {stage} {ver} {verdict}")
+    def vote(self, stage, version, verdict):
+        self.lines.append(f"cast_vote {stage} {version} {verdict}")
 
     def probe(self, server):
         self.lines.append(f"probe {server}")
@@ -309,8 +337,8 @@
     def close_idle(self, server):
         self.lines.append(f"let_go {server}")
 
-    def timer(self, at, key):
-        self.lines.append(f"timer {at:.3f} {key}")
+    def timer(self, time, key):
+        self.lines.append(f"timer {time:.3f} {key}")
 
     def log(self, line):
         self.lines.append("log " + line.replace("\n", " "))
