--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Codecs and settings: any cut of the bytes reads the same, and what is wrong is named."""
+"""Codecs parse alike for any chunk boundaries; errors in settings name the file, the line and the field."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -13,8 +13,9 @@
 
 
 def pieces(data, cuts):
-    at = sorted({min(x, len(data)) for x in cuts})
-    return [data[a:b] for a, b in zip([0, *at], [*at, len(data)])]
+    """`data` split at the offsets `cuts`."""
+    offsets = sorted({min(cut, len(data)) for cut in cuts})
+    return [data[begin:end] for begin, end in zip([0, *offsets], [*offsets, len(data)])]
 
 
 @SMALL
@@ -26,12 +27,12 @@
     ),
     st.lists(st.integers(0, 1200), max_size=12),
 )
-def test_requests_read_the_same_however_they_are_cut(requests, cuts):
+def test_requests_are_parsed_alike_for_any_chunk_boundaries(requests, cuts):
     data = b"".join(http.request(b"/op", b"h", headers, body) for headers, body in requests)
     reader = http.RequestReader(16384, 1024)
     for piece in pieces(data, cuts):
         reader.feed(piece)
-    assert [(r[3], [h for h in r[2] if h[0].startswith(b"x-")]) for r in reader.ready] == [
+    assert [(request[3], [h for h in request[2] if h[0].startswith(b"x-")]) for request in reader.ready] == [
         (body, headers) for headers, body in requests
     ]
 
@@ -43,7 +44,7 @@
     st.binary(max_size=300),
     st.lists(st.integers(0, 900), max_size=12),
 )
-def test_answers_read_the_same_however_they_are_cut(status, headers, body, cuts):
+def test_responses_are_parsed_alike_for_any_chunk_boundaries(status, headers, body, cuts):
     reader = http.AnswerReader(1 << 16)
     for piece in pieces(http.answer(status, headers, body), cuts):
         reader.feed(piece)
@@ -52,29 +53,29 @@
 
 @SMALL
 @given(st.binary(max_size=400))
-def test_any_bytes_are_read_or_refused(data):
-    for reader, wrong in (
+def test_arbitrary_bytes_are_parsed_or_rejected(data):
+    for reader, error_class in (
         (http.RequestReader(200, 100), http.BadRequest),
         (http.AnswerReader(300), http.BadAnswer),
         (frames.FrameReader(200), frames.BadFrame),
     ):
         try:
             reader.feed(data)
-        except wrong as trouble:
-            assert str(trouble)
+        except error_class as error:
+            assert str(error)
 
 
 @SMALL
 @given(st.lists(st.integers(0, 2**40), min_size=1, max_size=6), st.lists(st.integers(0, 200), max_size=8))
-def test_frames_read_the_same_however_they_are_cut(numbers, cuts):
+def test_frames_are_parsed_alike_for_any_chunk_boundaries(numbers, cuts):
     data = b"".join(frames.pack(vote=c.Vote(number=n)) for n in numbers)
-    reader, got = frames.FrameReader(), []
+    reader, received = frames.FrameReader(), []
     for piece in pieces(data, cuts):
-        got += reader.feed(piece)
-    assert [m.number for _, m in got] == numbers
+        received += reader.feed(piece)
+    assert [message.number for _, message in received] == numbers
 
 
-def test_generated_codecs_are_fresh(tmp_path):
+def test_generated_protobuf_code_is_up_to_date(tmp_path):
     generate.generate(tmp_path)
     for proto in generate.PROTOS:
         name = proto.replace(".proto", "_pb2.py")
@@ -84,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, wrong",
+    "old, new, error",
     [
         ("drain_grace: 200", "drain_grace: -1", "f:7: drain_grace: -1 is outside 0 to 60000 ms"),
         ("drain_grace: 200", "drain_grace: nan", "f:7: drain_grace: nan is outside"),
@@ -112,26 +113,26 @@
         ('zone: "a"', 'zone: "a b"', "f:2: zone: 'a b' may not"),
     ],
 )
-def test_settings_name_file_line_and_field(old, new, wrong):
+def test_setting_errors_name_file_line_and_field(old, new, error):
     assert old in FLEET
-    with pytest.raises(load.BadSetting) as bad:
+    with pytest.raises(load.BadSetting) as raised:
         load.parse(schema.Fleet, FLEET.replace(old, new), "f")
-    assert str(bad.value).startswith(wrong) and "\n" not in str(bad.value)
+    assert str(raised.value).startswith(error) and "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "change, advice",
     [("proxies: 30", "none alone sees enough"), ("proxies: 30 may_signal: true", None), ("proxies: 3", None)],
 )
-def test_what_is_seldom_meant_is_said(change, said):
+def test_advice_on_unusual_settings(change, advice):
     fleet = load.parse(schema.Fleet, FLEET + change, "f")
-    assert [said in x for x in load.advice(fleet) if "window" not in x and "forgotten" not in x] == (
-        [True] if said else []
-    )
+    assert [
+        advice in line for line in load.advice(fleet) if "window" not in line and "forgotten" not in line
+    ] == ([True] if advice else [])
 
 
 def test_every_setting_is_explained():
-    told = list(load.explain())
-    assert len(told) > 50 and all(text for *_, text, _ in told)
+    explained = list(load.explain())
+    assert len(explained) > 50 and all(text for *_, text, _ in explained)
     for kind in ("Proxy", "Controller"):
         assert load.parse(getattr(schema, kind), 'control: "x:1"' if kind == "Proxy" else "", "f")
