--- a/bench/release.py
+++ b/bench/release.py
@@ -154,13 +154,13 @@
         what = draw.random()
         s = one.stages
         if what < 0.1:
-            one.event("offered", s.ver + 1)
+            one.event("offered", s.version + 1)
         elif what < 0.2:
-            say("ordered", one.store.put_order("back" if what < 0.15 else "hold", s.ver, "bench", "x"))
+            say("ordered", one.store.put_order("back" if what < 0.15 else "hold", s.version, "bench", "x"))
         elif what < 0.25:
-            say("ordered", one.store.put_order("resume", s.ver, "bench", "x"))
+            say("ordered", one.store.put_order("resume", s.version, "bench", "x"))
         else:
-            one.event("vote", "0", number, s.stage, s.ver, ON if what < 0.9 else BACK)
+            one.event("vote", "0", number, s.stage, s.version, ON if what < 0.9 else BACK)
         one.round(one.outside() + one.box.drain())
         host.sleep(float(draw.random() * 2))
 
@@ -381,7 +381,7 @@
             one.event("offered", 2)
             for slot in range(8):
                 one.event("node", slot, True)
-            while one.stages.ver != 2 or one.stages.clock is None:
+            while one.stages.version != 2 or one.stages.clock is None:
                 for slot in range(8):
                     one.event("node", slot, True)
                 host.sleep(5)
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -192,7 +192,7 @@
             self.stages.restore(host.now(), saved, 1000 * away)
             self.logger.info(
                 "taken up",
-                build=self.stages.ver,
+                build=self.stages.version,
                 stage=self.stages.stage,
                 phase=self.stages.phase,
                 away_s=round(away, 3),
@@ -244,7 +244,7 @@
                     503,
                     json.dumps(dict(error="another controller acts by now; send it again")) + "\n",
                 )
-            fresh = build > self.stages.ver and build not in self.stages.queue
+            fresh = build > self.stages.version and build not in self.stages.queue
             status = 202 if fresh else 409
             text = json.dumps(dict(build=build, offered=fresh)) + "\n"
             stages = self.stages
@@ -412,7 +412,7 @@
             since=max(0.0, host.now() - s.since),
             cap=s.cap,
             status=status,
-            ver=s.ver,
+            ver=s.version,
             phase=s.phase,
             number=number or 0,
             epoch=self.epoch,
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -2,9 +2,9 @@
 
 `Stages.round(now, events, out)` applies events once a round and writes its decisions to `out`. Times are in
 ms. An event is a tuple of a method's name and its arguments:
-  offered(ver) · node(slot, ready) · gone(slot) · vote(proxy, number, stage, ver, verdict) · heard(proxy) ·
-  frozen(why or None) · order(number, kind, build, by, why): an operator's offer, hold, resume or back
-The writer implements: place(slot, ver, zone, cell, warm) · remove(slot) · stage() ·
+  offered(version) · node(slot, ready) · gone(slot) · vote(proxy, number, stage, version, verdict) ·
+  heard(proxy) · frozen(why or None) · order(number, kind, build, by, why): kind is offer, hold, resume or back
+The writer implements: place(slot, version, zone, cell, warm) · remove(slot) · stage() ·
 answer(proxy, number, status) · ordered(number, accepted, text) · log(what, facts).
 
 One build is on trial at a time. A build that is offered meanwhile rolls back the trial or waits for its end,
@@ -21,10 +21,10 @@
 class Slot:
     """A place for one node of one build in the fleet."""
 
-    def __init__(self, slot, ver, zone, cell):
-        self.slot, self.ver, self.zone, self.cell, self.ready, self.leaving = (
+    def __init__(self, slot, version, zone, cell):
+        self.slot, self.version, self.zone, self.cell, self.ready, self.leaving = (
             slot,
-            ver,
+            version,
             zone,
             cell,
             False,
@@ -58,7 +58,7 @@
         self.allowance, self.tokens = rollout.vote_allowance, [(2 * rollout.vote_allowance, 0.0)] * 2
         self.size, self.zones, self.cell_size = size, zones, cell_size
         self.slots, self.next_slot, self.queue, self.votes = {}, 0, [], {}
-        self.ver, self.released, self.phase, self.stage = 1, 1, RELEASED, len(rollout.caps) - 1
+        self.version, self.released, self.phase, self.stage = 1, 1, RELEASED, len(rollout.caps) - 1
         self.now = self.since = self.placed = self.notified_at = 0.0
         self.clock, self.figures = None, {}
 
@@ -72,7 +72,7 @@
             return None if timestamp is None else self.now - timestamp
 
         return dict(
-            ver=self.ver,
+            ver=self.version,
             released=self.released,
             phase=self.phase,
             stage=self.stage,
@@ -85,7 +85,7 @@
                 [proxy, verdict, elapsed_since(cast_at)]
                 for proxy, (verdict, cast_at) in sorted(self.votes.items())
             ],
-            slots=[[s.slot, s.ver, s.zone, s.cell, s.leaving] for _, s in sorted(self.slots.items())],
+            slots=[[s.slot, s.version, s.zone, s.cell, s.leaving] for _, s in sorted(self.slots.items())],
             members=[[proxy, elapsed_since(seen_at)] for proxy, seen_at in sorted(self.members.items())],
             held=self.held,
         )
@@ -98,7 +98,7 @@
         def timestamp(elapsed):
             return None if elapsed is None else now - downtime - elapsed
 
-        self.ver, self.released, self.phase, self.stage = (
+        self.version, self.released, self.phase, self.stage = (
             saved[key] for key in ("ver", "released", "phase", "stage")
         )
         self.queue, self.next_slot = list(saved["queue"]), saved["next_slot"]
@@ -110,8 +110,8 @@
         self.votes = {proxy: (verdict, timestamp(elapsed)) for proxy, verdict, elapsed in saved["votes"]}
         self.members = {proxy: timestamp(elapsed) for proxy, elapsed in saved.get("members", ())}
         self.held = saved.get("held")
-        for slot, ver, zone, cell, leaving in saved["slots"]:
-            self.slots[slot] = Slot(slot, ver, zone, cell)
+        for slot, version, zone, cell, leaving in saved["slots"]:
+            self.slots[slot] = Slot(slot, version, zone, cell)
             self.slots[slot].leaving = leaving
 
     def again(self, out):
@@ -121,7 +121,7 @@
             if s.leaving:
                 out.remove(s.slot)
             else:
-                out.place(s.slot, s.ver, s.zone, s.cell, False)
+                out.place(s.slot, s.version, s.zone, s.cell, False)
 
     def round(self, now, events, out):
         """Applies `events` in order, then makes the transition that is due; decisions go to `out`."""
@@ -146,7 +146,7 @@
             {},
         )
         self.figures = {}
-        self.out.log("stage", dict(build=self.ver, stage=stage, phase=phase, cap=self.cap, why=why))
+        self.out.log("stage", dict(build=self.version, stage=stage, phase=phase, cap=self.cap, why=why))
         self.notify()
 
     # ---- events ----
@@ -155,10 +155,10 @@
         """Places the fleet at rest: warm nodes of build 1, slots numbered from 0."""
         self.place_nodes(1, self.size, True)
 
-    def offered(self, ver):
+    def offered(self, version):
         """A build is offered by a pipeline or an operator; ignored unless newer than the current one."""
-        if ver > self.ver and ver not in self.queue:
-            self.queue.append(ver)
+        if version > self.version and version not in self.queue:
+            self.queue.append(version)
             self.queue.sort()
 
     def node(self, slot, ready):
@@ -174,7 +174,7 @@
             if self.slots[slot].leaving:
                 del self.slots[slot]
 
-    def vote(self, proxy, number, stage, ver, verdict, figures=""):
+    def vote(self, proxy, number, stage, version, verdict, figures=""):
         """A proxy's verdict on a build; answered with SUCCEEDED, with MOOT if the vote does not apply to the
         present stage, or with FULL above the rate limit. `figures` is the evidence as text, for the log."""
         # BACK votes have a token bucket of their own: a flood of ON votes must not crowd them out.
@@ -186,14 +186,14 @@
         if tokens < 1:
             self.out.answer(proxy, number, FULL)
             return
-        valid = ver == self.ver and (
+        valid = version == self.version and (
             verdict in (ON, HOLD)
             and self.phase == TRIAL
             and stage == self.stage
             or verdict == NO_VOTE
             or verdict == BACK
             and self.phase in (TRIAL, RELEASED)
-            and self.ver > 1
+            and self.version > 1
         )
         if valid:
             repeated_hold = verdict == HOLD and self.votes.get(proxy, (None,))[0] == HOLD
@@ -201,7 +201,7 @@
             self.figures[proxy] = figures
             if not repeated_hold:
                 self.out.log(
-                    "vote", dict(proxy=proxy, stage=stage, build=ver, verdict=verdict, figures=figures)
+                    "vote", dict(proxy=proxy, stage=stage, build=version, verdict=verdict, figures=figures)
                 )
         self.out.answer(proxy, number, SUCCEEDED if valid else MOOT)
 
@@ -226,7 +226,7 @@
     # Each `to_` method carries out one kind of order and returns (accepted, text for the operator).
 
     def to_offer(self, build, by, why):
-        if build <= self.ver or build in self.queue:
+        if build <= self.version or build in self.queue:
             return False, f"build {build} is not newer than the current build, or is queued already"
         self.offered(build)
         return True, f"build {build} is offered"
@@ -242,7 +242,7 @@
         return True, "promotion is resumed"
 
     def to_back(self, build, by, why):
-        if build != self.ver or self.phase not in (TRIAL, RELEASED) or self.ver < 2:
+        if build != self.version or self.phase not in (TRIAL, RELEASED) or self.version < 2:
             return False, f"build {build} is neither on trial nor the released build"
         self.roll_back(f"{by}: {why}")
         return True, f"build {build} is being rolled back"
@@ -276,18 +276,18 @@
 
     # ---- transitions ----
 
-    def place_nodes(self, ver, target, warm=False):
-        """Places nodes of build `ver` until `target` of them are placed and not leaving."""
-        count = sum(s.ver == ver and not s.leaving for s in self.slots.values())
+    def place_nodes(self, version, target, warm=False):
+        """Places nodes of build `version` until `target` of them are placed and not leaving."""
+        count = sum(s.version == version and not s.leaving for s in self.slots.values())
         for n in range(count, target):
             slot = self.next_slot
             self.next_slot += 1
-            self.slots[slot] = Slot(slot, ver, n % self.zones, n // self.cell_size)
-            self.out.place(slot, ver, n % self.zones, n // self.cell_size, warm)
+            self.slots[slot] = Slot(slot, version, n % self.zones, n // self.cell_size)
+            self.out.place(slot, version, n % self.zones, n // self.cell_size, warm)
 
-    def remove_nodes(self, ver):
+    def remove_nodes(self, version):
         for slot in self.slots.values():
-            if slot.ver == ver and not slot.leaving:
+            if slot.version == version and not slot.leaving:
                 slot.leaving = True
                 self.out.remove(slot.slot)
 
@@ -307,10 +307,10 @@
         )
 
     def apply_transitions(self):
-        current = [s for s in self.slots.values() if s.ver == self.ver]
+        current = [s for s in self.slots.values() if s.version == self.version]
         if (
             self.phase in (TRIAL, RELEASED)
-            and self.ver > 1
+            and self.version > 1
             and len(self.valid_votes(BACK)) >= self.back_votes
         ):
             self.roll_back(self.describe_votes(BACK))
@@ -330,16 +330,16 @@
         elif self.phase == GOING_BACK:
             # Where nodes of the previous build were already removed, their replacements start first: the
             # fleet must never be empty.
-            previous = [s for s in self.slots.values() if s.ver == self.released and not s.leaving]
+            previous = [s for s in self.slots.values() if s.version == self.released and not s.leaving]
             if sum(s.ready for s in previous) >= self.size or self.now - self.placed >= NODE_START_TIMEOUT:
-                self.remove_nodes(self.ver)
+                self.remove_nodes(self.version)
                 if not current:
                     self.enter(WITHDRAWN, self.stage, "all of its nodes have ended")
         if self.phase in (RELEASED, WITHDRAWN) and self.queue and self.may_promote():
             if self.phase == RELEASED:
-                self.released = self.ver
-            self.ver = self.queue.pop(0)
-            self.out.log("offered", dict(build=self.ver))
+                self.released = self.version
+            self.version = self.queue.pop(0)
+            self.out.log("offered", dict(build=self.version))
             self.enter(TRIAL, 0, "offered")
             self.place_stage_nodes()
 
@@ -350,11 +350,11 @@
         if why:
             self.block_reason = why
             if why != before:
-                self.out.log("waits", dict(build=self.ver, why=why))
+                self.out.log("waits", dict(build=self.version, why=why))
         return not why
 
     def place_stage_nodes(self):
-        self.place_nodes(self.ver, max(1, round(self.machine_shares[self.stage] * self.size)))
+        self.place_nodes(self.version, max(1, round(self.machine_shares[self.stage] * self.size)))
 
     def promote(self):
         why = self.describe_votes(ON) or "soak time elapsed"
@@ -366,6 +366,6 @@
             self.remove_nodes(self.released)
 
     def roll_back(self, why):
-        self.out.log("back", dict(build=self.ver, why=why))
+        self.out.log("back", dict(build=self.version, why=why))
         self.enter(GOING_BACK, self.stage, why)
         self.place_nodes(self.released, self.size)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -98,7 +98,7 @@
         return self.one
 
     def on(self, *proxies):
-        return self.round(*[("vote", p, 1, self.one.stage, self.one.ver, ON) for p in proxies])
+        return self.round(*[("vote", p, 1, self.one.stage, self.one.version, ON) for p in proxies])
 
     def soaked(self, *there):
         for _ in range(13):
@@ -178,12 +178,12 @@
     one = Played(supersede=False)
     one.round(("offered", 2))
     one.round(("offered", 3))
-    assert (one.one.ver, one.one.phase, one.one.queue) == (2, TRIAL, [3])
+    assert (one.one.version, one.one.phase, one.one.queue) == (2, TRIAL, [3])
     for _ in (0, 1):
         one.soaked()
         one.on("a", "b")
     one.round()
-    assert (one.one.ver, one.one.released) == (3, 2)
+    assert (one.one.version, one.one.released) == (3, 2)
 
 
 class Interleavings(RuleBasedStateMachine):
@@ -196,9 +196,9 @@
 
     def step(self, *events, step=50.0):
         before = len(self.played.out.said)
-        one, was = self.played.one, (self.played.one.ver, self.played.one.phase, self.played.one.stage)
+        one, was = self.played.one, (self.played.one.version, self.played.one.phase, self.played.one.stage)
         standing = (
-            one.ver > 1
+            one.version > 1
             and one.phase in (TRIAL, RELEASED)
             and any(
                 v == BACK
@@ -210,7 +210,7 @@
         held = one.held
         self.played.round(*events, step=step)
         moves = [f for what, f in self.played.out.said[before:] if what == "stage"]
-        now = one.ver, one.phase, one.stage
+        now = one.version, one.phase, one.stage
         assert len(moves) <= 2, "two stages in one round"
         if standing:
             assert now[:2] not in ((was[0], TRIAL), (was[0], RELEASED)), "past a standing 'back'"
@@ -230,7 +230,7 @@
         off=st.sampled_from([0, 0, 0, 1]),
     )
     def vote(self, proxy, verdict, off):
-        self.step(("vote", proxy, 1, self.played.one.stage + off, self.played.one.ver, verdict, ""))
+        self.step(("vote", proxy, 1, self.played.one.stage + off, self.played.one.version, verdict, ""))
 
     @rule(some=st.sets(st.sampled_from("abcd")), step=st.sampled_from([25.0, 1000.0, 2600.0]))
     def time(self, some, step):
@@ -238,12 +238,12 @@
 
     @rule(ahead=st.integers(0, 3))
     def offer(self, ahead):
-        self.step(("offered", self.played.one.ver + ahead))
+        self.step(("offered", self.played.one.version + ahead))
 
     @rule(kind=st.sampled_from(["hold", "resume", "back", "resume"]))
     def order(self, kind):
         self.count += 1
-        self.step(("order", self.count, kind, self.played.one.ver, "ops", "x"))
+        self.step(("order", self.count, kind, self.played.one.version, "ops", "x"))
 
     @rule(away=st.floats(0, 9000))
     def crash(self, away):
@@ -261,10 +261,12 @@
     def sound(self):
         one = getattr(self, "played", None) and self.played.one
         if one:
-            trial = {s.ver for s in one.slots.values() if s.ver not in (one.released, 1) and not s.leaving}
-            assert len(trial) <= 1 and trial <= {one.ver}, "two builds on trial"
+            trial = {
+                s.version for s in one.slots.values() if s.version not in (one.released, 1) and not s.leaving
+            }
+            assert len(trial) <= 1 and trial <= {one.version}, "two builds on trial"
             assert one.phase in (TRIAL, RELEASED) or one.cap == 0.0
-            assert sum(s.ver == one.ver and not s.leaving for s in one.slots.values()) <= one.size
+            assert sum(s.version == one.version and not s.leaving for s in one.slots.values()) <= one.size
 
 
 Interleavings.TestCase.settings = how(
@@ -388,7 +390,7 @@
     assert first.acts() and not second.acts()
     assert heard(*link(second), "refusal").why
     first.event("offered", 2)
-    until(lambda: first.stages.ver == 2)
+    until(lambda: first.stages.version == 2)
     peer = link(first)
     peer[0].send(frames.pack(vote=c.Vote(number=1, stage=0, ver=2, verdict=ON)), 1000)
     while not heard(*peer, "stage").answer:
@@ -397,12 +399,12 @@
     # Stopped, as a process that is paused: it renews nothing, says nothing, and does not know that time went by.
     first.store.__dict__["keep_turn"] = lambda: host.sleep(1e9)
     until(second.acts)
-    assert second.stages.ver == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
+    assert second.stages.version == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
     assert not first.acts(), "two act"
     first.turn.renewed = 1e18  # even one that believes in its turn writes nothing, and tells nothing
     first.event("offered", 3)
     until(lambda: not first.acting)
-    assert first.stages.ver == 1 and second.store.restore()[0]["ver"] == 2
+    assert first.stages.version == 1 and second.store.restore()[0]["ver"] == 2
     assert heard(*link(second), "welcome").epoch == second.epoch
     assert ask(second, 4)[0] == 202 and ask(first, 4)[0] == 202 and ask(first, 5, "d5")[0] == 503
     second.close()
@@ -413,19 +415,19 @@
 def test_a_commit_that_stands_still_holds_up_no_list_and_tells_no_stage(tmp_path, controller, somebody):
     one, disk = controller(tmp_path / "s", "a", None, 60000), threading.Event()
     old, new = link(one) if somebody else None, None
-    until(lambda: one.stages.ver == 1 and not one.writing and not one.moves)
+    until(lambda: one.stages.version == 1 and not one.writing and not one.moves)
     real, one.store.store.record = (
         one.store.store.record,
         lambda moves, saved, *rest: (saved["ver"] == 2 and disk.wait(), real(moves, saved, *rest)),
     )
     try:
         one.event("offered", 2)
-        until(lambda: one.writing and one.stages.ver == 2)
+        until(lambda: one.writing and one.stages.version == 2)
         one.on_report(c.Report(slot=0, node=c.Node(id="n", state=c.READY, build=1, incarnation=1, age=1.0)))
         while old and not heard(*old, "list").nodes:
             pass
         new = link(one)
-        assert heard(*new, "list").nodes[0].id == "n" and one.writing and one.stages.ver == 2
+        assert heard(*new, "list").nodes[0].id == "n" and one.writing and one.stages.version == 2
         assert not any(kind == "stage" for kind, _ in new[2]), "told before it is on disk"
     finally:
         disk.set()
@@ -577,7 +579,7 @@
     one = controller(tmp_path / "s", "a")
     until(lambda: one.stages.slots)
     number = Store(tmp_path / "s").put_order("offer", 5, "ops", "by hand")
-    until(lambda: one.stages.ver == 5)
+    until(lambda: one.stages.version == 5)
     assert one.store.order(number) == ("done", "build 5 is offered")
     number = Store(tmp_path / "s").put_order("back", 4, "ops", "x")
     until(lambda: one.store.order(number)[0] != "new")
@@ -599,7 +601,7 @@
 def test_snapshot_and_restore_by_command(tmp_path, controller):
     one = controller(tmp_path / "s", "a")
     one.event("offered", 2)
-    until(lambda: one.stages.ver == 2)
+    until(lambda: one.stages.version == 2)
     assert run("snapshot", tmp_path / "s", tmp_path / "copy").exit_code == 0
     one.event("offered", 3)
     until(lambda: one.stages.queue == [3])
@@ -610,7 +612,9 @@
     assert run(*words).exit_code == 0
     again = controller(tmp_path / "s", "a")
     until(again.acts)  # its own watch of turns may come before its start does
-    assert again.stages.ver == 2 and again.epoch > before and again.store.history()[-1]["what"] == "restored"
+    assert (
+        again.stages.version == 2 and again.epoch > before and again.store.history()[-1]["what"] == "restored"
+    )
     again.close()
 
 
@@ -674,7 +678,7 @@
     one.senders = [Sender(told, one.store, host.chance(1), Log())]
     one.senders[0].begin()
     one.event("offered", 2)
-    until(lambda: one.stages.ver == 2)
+    until(lambda: one.stages.version == 2)
     one.event("order", 77, "back", 2, "ops", "it leaks")
     until(lambda: len([a for a, _ in got if a == 200]) >= 2)
     kinds = [json.loads(body)["type"] for _, body in got]
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -37,8 +37,8 @@
     def __init__(self, stages):
         self.stages, self.decisions, self.gone = stages, [], []
 
-    def place(self, slot, ver, zone, cell, warm):
-        self.decisions.append(("place", slot, ver))
+    def place(self, slot, version, zone, cell, warm):
+        self.decisions.append(("place", slot, version))
         self.stages.slots[slot].ready = True
 
     def remove(self, slot):
@@ -105,7 +105,7 @@
     kinds = [decision[0] for decision in stages.writer.decisions]
     assert kinds.index("answer") < kinds.index("stage", kinds.index("answer")) < kinds.index("remove")
     run_round(stages, 400.0)
-    assert stages.phase == WITHDRAWN and not [s for s in stages.slots.values() if s.ver == 2]
+    assert stages.phase == WITHDRAWN and not [s for s in stages.slots.values() if s.version == 2]
 
 
 def test_votes_are_checked_rate_limited_and_expire(stages):
@@ -139,7 +139,7 @@
     run_round(stages, 200.0, ("offered", 3), ("offered", 3), ("offered", 2))
     for now in (300.0, 400.0, 500.0):
         run_round(stages, now)
-    assert (stages.ver, stages.phase, stages.queue) == (3, TRIAL, [])
+    assert (stages.version, stages.phase, stages.queue) == (3, TRIAL, [])
 
 
 def test_restore_counts_the_downtime_as_soak_time(stages):
@@ -273,9 +273,9 @@
     first = deliver(controller)
     assert first[0] == 202 and deliver(controller) == first
     controller.round(controller.box.drain())
-    assert (controller.stages.ver, controller.stages.phase) == (7, TRIAL)
+    assert (controller.stages.version, controller.stages.phase) == (7, TRIAL)
     restarted = start_controller(tmp_path / "s")
-    assert deliver(restarted) == first and (restarted.stages.ver, restarted.stages.phase) == (7, TRIAL)
+    assert deliver(restarted) == first and (restarted.stages.version, restarted.stages.phase) == (7, TRIAL)
     assert (
         deliver(restarted, delivery_id="d2")[0] == 409 and deliver(restarted, b'{"build": 8}', "d3")[0] == 202
     )
@@ -291,7 +291,7 @@
     restarted = start_controller(tmp_path / "s")
     assert restarted.stages.queue == [7, 8]
     restarted.round([])  # the next round begins the trial
-    assert restarted.stages.ver == 7
+    assert restarted.stages.version == 7
 
 
 def test_no_decision_is_sent_that_could_not_be_stored(tmp_path):
