--- a/bench/release.py
+++ b/bench/release.py
@@ -147,7 +147,7 @@
             return True
 
     one.links["0"], one.machines = Heard(c.PROXY), Heard(c.MACHINES)
-    one.stages.again(one)
+    one.stages.resend_slots(one)
     number = 0
     while True:
         number += 1
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -498,7 +498,7 @@
                     getattr(self, "from_" + name, lambda *x: None)(link, message)
                 if link.role == c.PROXY and host.now() - link.heard > HEARD_EVERY:
                     link.heard = host.now()
-                    self.event("heard", link.id)
+                    self.event("proxy_seen", link.id)
         except frames.BadFrame as trouble:
             self.logger.error("link sent garbage", id=link.id, why=str(trouble))
         except (OSError, host.Timeout) as trouble:
@@ -541,7 +541,7 @@
             waiting, self.waiting = self.waiting, []
             for data in waiting:
                 link.put(0.0, data)
-            self.stages.again(self)
+            self.stages.resend_slots(self)
             return
         if m.id in self.barred:  # a script's cut
             link.stream.reset()
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -3,7 +3,7 @@
 `Stages.round(now, events, out)` applies events once a round and writes its decisions to `out`. Times are in
 ms. An event is a tuple of a method's name and its arguments:
   offered(version) · node(slot, ready) · gone(slot) · vote(proxy, number, stage, version, verdict) ·
-  heard(proxy) · frozen(why or None) · order(number, kind, build, by, why): kind is offer, hold, resume or back
+  proxy_seen(proxy) · frozen(why or None) · order(number, kind, build, by, why), an order of an operator
 The writer implements: place(slot, version, zone, cell, warm) · remove(slot) · stage() ·
 answer(proxy, number, status) · ordered(number, accepted, text) · log(what, facts).
 
@@ -43,7 +43,7 @@
         (None: always) and is forgotten after `known_for` ms. A stage is promoted only while `quorum` (a
         fraction) of the known proxies are present."""
         self.lease, self.known_for, self.quorum, self.supersede = lease, known_for, quorum, supersede
-        self.members, self.held, self.freeze_reason, self.block_reason = {}, None, None, None
+        self.members, self.held, self.freeze_reason, self.logged_reason = {}, None, None, None
         self.machine_shares, self.caps, self.soak, self.life = (
             rollout.machine_shares,
             rollout.caps,
@@ -114,7 +114,7 @@
             self.slots[slot] = Slot(slot, version, zone, cell)
             self.slots[slot].leaving = leaving
 
-    def again(self, out):
+    def resend_slots(self, out):
         """Repeats all placements and removals for machines that have (re)connected; they ignore placements
         that they already have."""
         for _, s in sorted(self.slots.items()):
@@ -182,7 +182,7 @@
         tokens, refilled_at = self.tokens[bucket]
         tokens = min(2 * self.allowance, tokens + (self.now - refilled_at) * self.allowance / 1000)
         self.tokens[bucket] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
-        self.heard(proxy)
+        self.proxy_seen(proxy)
         if tokens < 1:
             self.out.answer(proxy, number, FULL)
             return
@@ -209,7 +209,7 @@
         """True if a majority of the present proxies vote HOLD. A single proxy may be wrong about a site."""
         return 2 * len(self.valid_votes(HOLD)) > sum(map(self.present, self.members))
 
-    def heard(self, proxy):
+    def proxy_seen(self, proxy):
         """A sign of life from a proxy; renews its lease."""
         self.members[proxy] = self.now
 
@@ -252,7 +252,7 @@
     def present(self, proxy):
         return self.lease is None or self.now - self.members.get(proxy, -1e18) <= self.lease
 
-    def blocked(self):
+    def blocking_reason(self):
         """The reason for which no stage may be promoted and no trial may begin at present, or None."""
         if self.held:
             return "held by {}: {}".format(*self.held)
@@ -346,9 +346,9 @@
     def may_promote(self):
         """True if a transition that is due may be made; otherwise each new reason for the wait is logged
         once."""
-        why, before, self.block_reason = self.blocked(), self.block_reason, None
+        why, before, self.logged_reason = self.blocking_reason(), self.logged_reason, None
         if why:
-            self.block_reason = why
+            self.logged_reason = why
             if why != before:
                 self.out.log("waits", dict(build=self.version, why=why))
         return not why
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -102,13 +102,13 @@
 
     def soaked(self, *there):
         for _ in range(13):
-            self.round(*[("heard", p) for p in there])
+            self.round(*[("proxy_seen", p) for p in there])
 
 
 @pytest.fixture
 def leased():
     one = Played(lease=3000.0, known_for=60000.0, quorum=0.5)
-    one.round(*[("heard", p) for p in "abcd"], ("offered", 2))
+    one.round(*[("proxy_seen", p) for p in "abcd"], ("offered", 2))
     return one
 
 
@@ -147,7 +147,7 @@
     leased.round(("order", 1, "hold", None, "ops", "a look at the logs"))
     leased.soaked(*"abcd")
     leased.on("a", "b")
-    assert leased.one.stage == 0 and leased.one.blocked() == "held by ops: a look at the logs"
+    assert leased.one.stage == 0 and leased.one.blocking_reason() == "held by ops: a look at the logs"
     leased.round(("order", 2, "resume", None, "ops", "fine"), ("frozen", "holidays"))
     assert leased.one.stage == 0
     leased.round(("frozen", None))
@@ -234,7 +234,7 @@
 
     @rule(some=st.sets(st.sampled_from("abcd")), step=st.sampled_from([25.0, 1000.0, 2600.0]))
     def time(self, some, step):
-        self.step(*[("heard", p) for p in sorted(some)], step=step)
+        self.step(*[("proxy_seen", p) for p in sorted(some)], step=step)
 
     @rule(ahead=st.integers(0, 3))
     def offer(self, ahead):
@@ -254,7 +254,7 @@
         self.played.one = stages(lease=3000.0, known_for=20000.0, quorum=0.5, supersede=old.supersede)
         self.played.one.restore(self.played.now, saved, away)
         assert self.played.one.cap == old.cap and set(self.played.one.slots) == set(old.slots)
-        self.played.one.again(self.played.out)
+        self.played.one.resend_slots(self.played.out)
         self.step()
 
     @invariant()
