--- a/bench/release.py
+++ b/bench/release.py
@@ -381,7 +381,7 @@
             one.event("offered", 2)
             for slot in range(8):
                 one.event("node", slot, True)
-            while one.stages.version != 2 or one.stages.clock is None:
+            while one.stages.version != 2 or one.stages.soak_start is None:
                 for slot in range(8):
                     one.event("node", slot, True)
                 host.sleep(5)
--- a/gannetfront/lab/world.py
+++ b/gannetfront/lab/world.py
@@ -605,7 +605,7 @@
 
     def stage_facts(self):
         s = self.stages
-        return s.stage, max(0.0, self.time - s.since), s.cap, SUCCEEDED, s.version, s.phase
+        return s.stage, max(0.0, self.time - s.entered_at), s.cap, SUCCEEDED, s.version, s.phase
 
     def stage(self):
         for shell in self.proxies:
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -409,7 +409,7 @@
         message = c.Stage(
             answer=number is not None,
             stage=s.stage,
-            since=max(0.0, host.now() - s.since),
+            since=max(0.0, host.now() - s.entered_at),
             cap=s.cap,
             status=status,
             ver=s.version,
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -43,8 +43,8 @@
         (None: always) and is forgotten after `known_for` ms. A stage is promoted only while `quorum` (a
         fraction) of the known proxies are present."""
         self.lease, self.known_for, self.quorum, self.supersede = lease, known_for, quorum, supersede
-        self.members, self.held, self.freeze_reason, self.logged_reason = {}, None, None, None
-        self.machine_shares, self.caps, self.soak, self.life = (
+        self.last_seen, self.hold, self.freeze_reason, self.logged_reason = {}, None, None, None
+        self.machine_shares, self.caps, self.soak, self.vote_life = (
             rollout.machine_shares,
             rollout.caps,
             rollout.soak,
@@ -58,9 +58,9 @@
         self.allowance, self.tokens = rollout.vote_allowance, [(2 * rollout.vote_allowance, 0.0)] * 2
         self.size, self.zones, self.cell_size = size, zones, cell_size
         self.slots, self.next_slot, self.queue, self.votes = {}, 0, [], {}
-        self.version, self.released, self.phase, self.stage = 1, 1, RELEASED, len(rollout.caps) - 1
-        self.now = self.since = self.placed = self.notified_at = 0.0
-        self.clock, self.figures = None, {}
+        self.version, self.released_version, self.phase, self.stage = 1, 1, RELEASED, len(rollout.caps) - 1
+        self.now = self.entered_at = self.nodes_placed_at = self.notified_at = 0.0
+        self.soak_start, self.figures = None, {}
 
     cap = property(lambda self: {TRIAL: self.caps[self.stage], RELEASED: 1.0}.get(self.phase, 0.0))
 
@@ -73,21 +73,21 @@
 
         return dict(
             ver=self.version,
-            released=self.released,
+            released=self.released_version,
             phase=self.phase,
             stage=self.stage,
             queue=self.queue,
-            since=elapsed_since(self.since),
-            placed=elapsed_since(self.placed),
-            clock=elapsed_since(self.clock),
+            since=elapsed_since(self.entered_at),
+            placed=elapsed_since(self.nodes_placed_at),
+            clock=elapsed_since(self.soak_start),
             next_slot=self.next_slot,
             votes=[
                 [proxy, verdict, elapsed_since(cast_at)]
                 for proxy, (verdict, cast_at) in sorted(self.votes.items())
             ],
             slots=[[s.slot, s.version, s.zone, s.cell, s.leaving] for _, s in sorted(self.slots.items())],
-            members=[[proxy, elapsed_since(seen_at)] for proxy, seen_at in sorted(self.members.items())],
-            held=self.held,
+            members=[[proxy, elapsed_since(seen_at)] for proxy, seen_at in sorted(self.last_seen.items())],
+            held=self.hold,
         )
 
     def restore(self, now, saved, downtime):
@@ -98,18 +98,18 @@
         def timestamp(elapsed):
             return None if elapsed is None else now - downtime - elapsed
 
-        self.version, self.released, self.phase, self.stage = (
+        self.version, self.released_version, self.phase, self.stage = (
             saved[key] for key in ("ver", "released", "phase", "stage")
         )
         self.queue, self.next_slot = list(saved["queue"]), saved["next_slot"]
-        self.since, self.placed, self.clock = (
+        self.entered_at, self.nodes_placed_at, self.soak_start = (
             timestamp(saved["since"]),
             timestamp(saved["placed"]),
             timestamp(saved["clock"]),
         )
         self.votes = {proxy: (verdict, timestamp(elapsed)) for proxy, verdict, elapsed in saved["votes"]}
-        self.members = {proxy: timestamp(elapsed) for proxy, elapsed in saved.get("members", ())}
-        self.held = saved.get("held")
+        self.last_seen = {proxy: timestamp(elapsed) for proxy, elapsed in saved.get("members", ())}
+        self.hold = saved.get("held")
         for slot, version, zone, cell, leaving in saved["slots"]:
             self.slots[slot] = Slot(slot, version, zone, cell)
             self.slots[slot].leaving = leaving
@@ -137,7 +137,7 @@
         self.out.stage()
 
     def enter(self, phase, stage, why):
-        self.phase, self.stage, self.since, self.placed, self.clock, self.votes = (
+        self.phase, self.stage, self.entered_at, self.nodes_placed_at, self.soak_start, self.votes = (
             phase,
             stage,
             self.now,
@@ -207,11 +207,11 @@
 
     def majority_holds(self):
         """True if a majority of the present proxies vote HOLD. A single proxy may be wrong about a site."""
-        return 2 * len(self.valid_votes(HOLD)) > sum(map(self.present, self.members))
+        return 2 * len(self.valid_votes(HOLD)) > sum(map(self.present, self.last_seen))
 
     def proxy_seen(self, proxy):
         """A sign of life from a proxy; renews its lease."""
-        self.members[proxy] = self.now
+        self.last_seen[proxy] = self.now
 
     def frozen(self, why):
         """A calendar freeze began for the reason `why`, or ended (None)."""
@@ -232,13 +232,13 @@
         return True, f"build {build} is offered"
 
     def to_hold(self, build, by, why):
-        self.held = [by, why]
+        self.hold = [by, why]
         return True, "promotion is on hold until it is resumed"
 
     def to_resume(self, build, by, why):
-        if not self.held:
+        if not self.hold:
             return False, "promotion is not on hold"
-        self.held = None
+        self.hold = None
         return True, "promotion is resumed"
 
     def to_back(self, build, by, why):
@@ -250,21 +250,21 @@
     # ---- presence of the proxies ----
 
     def present(self, proxy):
-        return self.lease is None or self.now - self.members.get(proxy, -1e18) <= self.lease
+        return self.lease is None or self.now - self.last_seen.get(proxy, -1e18) <= self.lease
 
     def blocking_reason(self):
         """The reason for which no stage may be promoted and no trial may begin at present, or None."""
-        if self.held:
-            return "held by {}: {}".format(*self.held)
+        if self.hold:
+            return "held by {}: {}".format(*self.hold)
         if self.freeze_reason:
             return f"frozen: {self.freeze_reason}"
         if self.lease is not None:
             # Without a quorum a few connected proxies could promote a stage unknown to all others.
-            for proxy in [p for p, seen_at in self.members.items() if self.now - seen_at > self.known_for]:
-                del self.members[proxy]
-            present = sum(map(self.present, self.members))
-            if present < self.quorum * len(self.members):
-                return f"{present} of {len(self.members)} proxies in touch"
+            for proxy in [p for p, seen_at in self.last_seen.items() if self.now - seen_at > self.known_for]:
+                del self.last_seen[proxy]
+            present = sum(map(self.present, self.last_seen))
+            if present < self.quorum * len(self.last_seen):
+                return f"{present} of {len(self.last_seen)} proxies in touch"
         return None
 
     def required_on_votes(self):
@@ -272,7 +272,7 @@
         vanished ones do not block it."""
         if self.lease is None:
             return self.on_votes
-        return min(self.on_votes, max(1, sum(map(self.present, self.members))))
+        return min(self.on_votes, max(1, sum(map(self.present, self.last_seen))))
 
     # ---- transitions ----
 
@@ -296,7 +296,7 @@
         return [
             proxy
             for proxy, (latest, cast_at) in self.votes.items()
-            if latest == verdict and self.now - cast_at < self.life and self.present(proxy)
+            if latest == verdict and self.now - cast_at < self.vote_life and self.present(proxy)
         ]
 
     def describe_votes(self, verdict):
@@ -317,11 +317,11 @@
         elif self.phase == TRIAL:
             if self.queue and self.supersede:
                 self.roll_back("superseded by the next build")
-            elif self.clock is None:
-                if all(s.ready for s in current) or self.now - self.placed >= NODE_START_TIMEOUT:
-                    self.clock = self.now
+            elif self.soak_start is None:
+                if all(s.ready for s in current) or self.now - self.nodes_placed_at >= NODE_START_TIMEOUT:
+                    self.soak_start = self.now
             elif (
-                self.now - self.clock >= self.soak
+                self.now - self.soak_start >= self.soak
                 and len(self.valid_votes(ON)) >= self.required_on_votes()
                 and self.may_promote()
                 and not self.majority_holds()
@@ -330,14 +330,19 @@
         elif self.phase == GOING_BACK:
             # Where nodes of the previous build were already removed, their replacements start first: the
             # fleet must never be empty.
-            previous = [s for s in self.slots.values() if s.version == self.released and not s.leaving]
-            if sum(s.ready for s in previous) >= self.size or self.now - self.placed >= NODE_START_TIMEOUT:
+            previous = [
+                s for s in self.slots.values() if s.version == self.released_version and not s.leaving
+            ]
+            if (
+                sum(s.ready for s in previous) >= self.size
+                or self.now - self.nodes_placed_at >= NODE_START_TIMEOUT
+            ):
                 self.remove_nodes(self.version)
                 if not current:
                     self.enter(WITHDRAWN, self.stage, "all of its nodes have ended")
         if self.phase in (RELEASED, WITHDRAWN) and self.queue and self.may_promote():
             if self.phase == RELEASED:
-                self.released = self.version
+                self.released_version = self.version
             self.version = self.queue.pop(0)
             self.out.log("offered", dict(build=self.version))
             self.enter(TRIAL, 0, "offered")
@@ -363,9 +368,9 @@
             self.place_stage_nodes()
         else:
             self.enter(RELEASED, self.stage, why)
-            self.remove_nodes(self.released)
+            self.remove_nodes(self.released_version)
 
     def roll_back(self, why):
         self.out.log("back", dict(build=self.version, why=why))
         self.enter(GOING_BACK, self.stage, why)
-        self.place_nodes(self.released, self.size)
+        self.place_nodes(self.released_version, self.size)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -183,7 +183,7 @@
         one.soaked()
         one.on("a", "b")
     one.round()
-    assert (one.one.version, one.one.released) == (3, 2)
+    assert (one.one.version, one.one.released_version) == (3, 2)
 
 
 class Interleavings(RuleBasedStateMachine):
@@ -202,12 +202,12 @@
             and one.phase in (TRIAL, RELEASED)
             and any(
                 v == BACK
-                and self.played.now + step - at < one.life
-                and self.played.now + step - one.members.get(p, -1e18) <= one.lease
+                and self.played.now + step - at < one.vote_life
+                and self.played.now + step - one.last_seen.get(p, -1e18) <= one.lease
                 for p, (v, at) in one.votes.items()
             )
         )
-        held = one.held
+        held = one.hold
         self.played.round(*events, step=step)
         moves = [f for what, f in self.played.out.said[before:] if what == "stage"]
         now = one.version, one.phase, one.stage
@@ -262,7 +262,9 @@
         one = getattr(self, "played", None) and self.played.one
         if one:
             trial = {
-                s.version for s in one.slots.values() if s.version not in (one.released, 1) and not s.leaving
+                s.version
+                for s in one.slots.values()
+                if s.version not in (one.released_version, 1) and not s.leaving
             }
             assert len(trial) <= 1 and trial <= {one.version}, "two builds on trial"
             assert one.phase in (TRIAL, RELEASED) or one.cap == 0.0
@@ -525,7 +527,7 @@
     saved, away = Store(tmp_path / "s").restore()
     again = stages()
     again.restore(5000.0, saved, 1000 * away)
-    assert away == 0 and 0 <= 5000.0 - again.clock <= 1100.0
+    assert away == 0 and 0 <= 5000.0 - again.soak_start <= 1100.0
     assert store.take_turn("a", store.turn()) < store.take_turn("b", store.turn()), (
         "epochs fell with the clock"
     )
