--- a/gannetfront/audit/evidence.py
+++ b/gannetfront/audit/evidence.py
@@ -5,7 +5,7 @@
 
 from collections import defaultdict
 
-from ..release.outbox import TYPES
+from ..release.outbox import EVENT_TYPES
 
 
 def trails(fleet, tries, dispatches, kept, events, slack=60.0):
@@ -93,7 +93,7 @@
         if numbers != sorted(numbers):
             stories.append(f"letters of build {build} came as {numbers}")
     told = sorted(tuple(detail.split()) for detail in first.values())
-    due = sorted((str(m["build"]), TYPES[m["phase"]]) for m in moves if m["what"] == "stage")
+    due = sorted((str(m["build"]), EVENT_TYPES[m["phase"]]) for m in moves if m["what"] == "stage")
     if told != due:
         stories.append(f"moves {due} but letters {told}")
     return checked, stories
--- a/gannetfront/release/outbox.py
+++ b/gannetfront/release/outbox.py
@@ -14,7 +14,7 @@
 class Outbox:
     """The messages for one receiver. `round(now, events, out)` accepts the events added(number, build,
     attempts) · delivered(number) · failed(number, why, permanent). The writer implements send(number) ·
-    keep(number, attempts, state, why), where state is one of due, done and dead."""
+    record_state(number, attempts, state, why), where state is one of due, done and dead."""
 
     def __init__(self, random, max_attempts, first_wait, longest_wait, max_in_flight):
         """`random.random()` spreads the retries; waits are in ms; messages of up to `max_in_flight` builds
@@ -26,7 +26,7 @@
             longest_wait,
         )
         self.max_in_flight = max_in_flight
-        self.forget()
+        self.clear()
 
     def round(self, now, events, out):
         """Applies `events` and sends what is due at `now`. Returns the time (ms) of the next retry, or
@@ -50,7 +50,7 @@
                 next_due = due if next_due is None else min(due, next_due)
         return next_due
 
-    def forget(self):
+    def clear(self):
         """Drops all messages from memory; the owner adds them again from the store."""
         self.queues, self.in_flight, self.build_of = {}, set(), {}
 
@@ -69,7 +69,7 @@
         build = self.build_of.pop(number)
         self.queues[build] = [entry for entry in self.queues[build] if entry[0] != number]
         self.in_flight.discard(build)
-        self.out.keep(number, *outcome)
+        self.out.record_state(number, *outcome)
 
     def find(self, number):
         """(index in its build's queue, that queue) of a message."""
@@ -95,10 +95,10 @@
             0.5 + self.random.random()
         )
         queue[index] = number, attempts, self.now + delay
-        self.out.keep(number, attempts, "due", why)
+        self.out.record_state(number, attempts, "due", why)
 
 
-TYPES = {
+EVENT_TYPES = {
     TRIAL: "build.stage",
     GOING_BACK: "build.going_back",
     RELEASED: "build.released",
@@ -106,12 +106,12 @@
 }
 
 
-def body_of(kind, facts, unix_time):
+def event_body(kind, facts, unix_time):
     """The event as JSON text. It is stored, so that each attempt sends the same bytes."""
     return json.dumps(dict(type=kind, timestamp=unix_time, data=facts), sort_keys=True)
 
 
-def headers_of(number, body, secret, unix_time):
+def signed_headers(number, body, secret, unix_time):
     """Headers after Standard Webhooks: a stable id, the time of this attempt, and the signature over both
     and the body."""
     message_id, timestamp = f"msg_{number}", int(unix_time)
@@ -124,7 +124,7 @@
     ]
 
 
-def judged(status):
+def classify_status(status):
     """(delivered, permanent failure) for an HTTP status: after Standard Webhooks only 410 Gone rules out a
     retry."""
     return 200 <= status < 300, status == 410
--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -10,7 +10,7 @@
 from .. import host
 from ..wire import http
 from ..wire.asking import ask
-from .outbox import Outbox, headers_of, judged
+from .outbox import Outbox, signed_headers, classify_status
 from .store import Fenced
 from .webhooks import secret_of
 
@@ -40,7 +40,7 @@
 
     def begin(self):
         """With each turn: what is due is read from the store."""
-        self.outbox.forget()
+        self.outbox.clear()
         self.letters, self.life = {}, self.life + 1
         host.spawn(self.run)
 
@@ -65,7 +65,7 @@
             except sqlite3.Error as trouble:
                 # A try that could not be written down is made again: at least once, and the receiver knows its id.
                 self.log.error("webhook's fate not kept", receiver=self.name, why=str(trouble))
-                self.outbox.forget()
+                self.outbox.clear()
                 self.letters, self.life, due = {}, self.life + 1, None
                 life = self.life
             wait = LOOK if due is None else max(1.0, min(LOOK, due - host.now()))
@@ -85,7 +85,7 @@
     def send(self, number):
         self.acts.append((self.begin_try, number))
 
-    def keep(self, *fields):
+    def record_state(self, *fields):
         self.acts.append((self.written, *fields))
 
     # ---- what was decided ----
@@ -104,9 +104,9 @@
 
     def deliver(self, number, body, life):
         try:
-            told = headers_of(number, body, self.secret, host.wall())
+            told = signed_headers(number, body, self.secret, host.wall())
             status, _ = ask(self.at, self.path.encode(), told, body, self.limit, self.host_name, self.tls)
-            fine, for_good = judged(status)
+            fine, for_good = classify_status(status)
             event = ("delivered", number) if fine else ("failed", number, f"answered {status}", for_good)
         except host.Refused as trouble:
             event = "failed", number, f"no connection: {trouble.kind}"
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -399,7 +399,7 @@
         if self.store:
             self.moves.append((what, facts))
             if what == "stage":
-                body = outbox.body_of(outbox.TYPES[facts["phase"]], facts, host.wall())
+                body = outbox.event_body(outbox.EVENT_TYPES[facts["phase"]], facts, host.wall())
                 self.letters += [(sender.name, facts["build"], body) for sender in self.senders]
         self.logger.info(what, **facts)
         self.story(what, facts)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -21,7 +21,7 @@
 from gannetfront.proxy.links import Epochs, Outdated
 from gannetfront.release import store as store_module
 from gannetfront.release.calendar import Calendar, date
-from gannetfront.release.outbox import Outbox, body_of, headers_of
+from gannetfront.release.outbox import Outbox, event_body, signed_headers
 from gannetfront.release.sending import Sender
 from gannetfront.release.serve import Controller
 from gannetfront.release.stages import Stages
@@ -630,7 +630,7 @@
     def send(self, number):
         self.sent.append(number)
 
-    def keep(self, *what):
+    def record_state(self, *what):
         self.kept.append(what)
 
 
@@ -693,7 +693,7 @@
 
 def signed(headers, body):
     told = dict(headers)
-    want = dict(headers_of(int(told[b"webhook-id"][4:]), body, SECRET, int(told[b"webhook-timestamp"])))
+    want = dict(signed_headers(int(told[b"webhook-id"][4:]), body, SECRET, int(told[b"webhook-timestamp"])))
     assert told[b"webhook-signature"] == want[b"webhook-signature"]
 
 
@@ -703,8 +703,8 @@
         [],
         {},
         letters=[
-            ("r", 2, body_of("build.stage", dict(build=2), 0)),
-            ("r", 2, body_of("build.released", dict(build=2), 0)),
+            ("r", 2, event_body("build.stage", dict(build=2), 0)),
+            ("r", 2, event_body("build.released", dict(build=2), 0)),
         ],
     )
     store.keep_letter(1, 12, "dead", "no connection: econnrefused")
