--- a/gannetfront/release/calendar.py
+++ b/gannetfront/release/calendar.py
@@ -7,7 +7,7 @@
 MINUTES_PER_WEEK = 7 * 1440
 
 
-def date(text):
+def parse_date(text):
     """Converts '2026-12-24 18:00' or '2026-12-24' (UTC) to Unix time in seconds; raises ValueError."""
     try:
         return datetime.fromisoformat(text).replace(tzinfo=timezone.utc).timestamp()
@@ -43,12 +43,12 @@
                     (minute_of_week(freeze.begin), minute_of_week(freeze.end), freeze.why)
                 )
                 continue
-            begin, end = date(freeze.begin), date(freeze.end)
+            begin, end = parse_date(freeze.begin), parse_date(freeze.end)
             if end <= begin:
                 raise ValueError(f"freeze ends at {freeze.end}, before its begin at {freeze.begin}")
             self.date_ranges.append((begin, end, freeze.why))
 
-    def frozen(self, unix_time):
+    def freeze_reason(self, unix_time):
         """The reason of the freeze in force at `unix_time` (seconds), or None."""
         for begin, end, why in self.date_ranges:
             if begin <= unix_time < end:
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -275,7 +275,7 @@
     def outside(self):
         """What comes by other ways than the box: the calendar, and operators' orders in the store."""
         events = []
-        why = self.calendar.frozen(host.wall()) if self.calendar else None
+        why = self.calendar.freeze_reason(host.wall()) if self.calendar else None
         if why != self.freeze:
             self.freeze = why
             events.append(("frozen", why))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -20,7 +20,7 @@
 from gannetfront.interface import BACK, GOING_BACK, ON, RELEASED, TRIAL, WITHDRAWN, Rollout
 from gannetfront.proxy.links import Epochs, Outdated
 from gannetfront.release import store as store_module
-from gannetfront.release.calendar import Calendar, date
+from gannetfront.release.calendar import Calendar, parse_date
 from gannetfront.release.outbox import Outbox, event_body, signed_headers
 from gannetfront.release.sending import Sender
 from gannetfront.release.serve import Controller
@@ -288,7 +288,7 @@
     one = Calendar(
         [freeze("2026-12-24", "2027-01-02 06:00", "holidays"), freeze("fri 18:00", "mon 06:00", "weekend")]
     )
-    assert Calendar([]).frozen(0) is None
+    assert Calendar([]).freeze_reason(0) is None
     for text, why in (
         ("2026-12-24", "holidays"),
         ("2027-01-02 05:59", "holidays"),
@@ -298,7 +298,7 @@
         ("2026-12-07 05:59", "weekend"),
         ("2026-12-07 06:00", None),
     ):
-        assert one.frozen(date(text)) == why, text
+        assert one.freeze_reason(parse_date(text)) == why, text
     for bad in (
         freeze("2026-13-01", "2027-01-01"),
         freeze("fri 25:00", "mon 06:00"),
