--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -10,7 +10,7 @@
 from . import outbox, webhooks
 from .stages import Stages
 from .store import Fenced
-from .turns import Turn
+from .turns import LeaderLease
 
 STATUS = {SUCCEEDED: c.OK, MOOT: c.MOOT, FULL: c.FULL}
 ROUND = 25.0
@@ -42,7 +42,11 @@
         )
         self.drain, self.most_queue, self.lost = fleet.rollout.drain, mine.link_queue, mine.lost_after
         self.period, self.history_size = fleet.rollout.tally_period, mine.history
-        self.listen, self.most_links, self.turn = mine.listen, mine.most_links, Turn(mine.name, mine.patience)
+        self.listen, self.most_links, self.turn = (
+            mine.listen,
+            mine.most_links,
+            LeaderLease(mine.name, mine.patience),
+        )
         self.story, self.barred, self.store = lambda what, facts: None, set(), None
         self.calendar, self.senders, self.trail, self.hook_limit = None, [], None, HOOK_LIMIT
         self.box, self.done, self.acting, self.closing = host.Mailbox(65536), host.Once(), False, False
@@ -70,11 +74,11 @@
 
     def acts(self):
         """True while what this one says counts: by its own clock, not by what it last read."""
-        return self.acting and (not self.store or self.turn.acts(host.now()))
+        return self.acting and (not self.store or self.turn.is_valid(host.now()))
 
     def try_turn(self):
         seen = self.store.turn()
-        if not self.turn.look(host.now(), *seen):
+        if not self.turn.poll(host.now(), *seen):
             return
         begun = host.now()
         epoch = self.store.take_turn(self.turn.name, seen)
@@ -82,7 +86,7 @@
             return
         self.clear()
         self.epoch, self.store.read_at = epoch, None
-        self.turn.taken(begun, host.now(), epoch)
+        self.turn.record_acquisition(begun, host.now(), epoch)
         # Only with what the store says taken up: that is read in a thread, and a proxy that comes meanwhile must not be told of a
         # fleet at rest.
         self.take_up()
@@ -100,7 +104,7 @@
                 else:
                     begun = host.now()
                     self.store.keep_turn()
-                    self.turn.kept(begun, host.now())
+                    self.turn.record_renewal(begun, host.now())
             except Fenced:
                 self.stand_down()
             except sqlite3.Error as trouble:
@@ -111,7 +115,7 @@
         if not self.acting:
             return
         self.acting = False
-        self.turn.lost(host.now())
+        self.turn.record_loss(host.now())
         self.logger.warning("stands by: another controller acts", name=self.turn.name, epoch=self.epoch)
         self.store.epoch = None
         for link in [*self.links.values(), *([self.machines] if self.machines else [])]:
--- a/gannetfront/release/turns.py
+++ b/gannetfront/release/turns.py
@@ -7,7 +7,7 @@
 refused for it."""
 
 
-class Turn:
+class LeaderLease:
     """One controller's view of the leader's lease."""
 
     def __init__(self, name, takeover_timeout):
@@ -18,7 +18,7 @@
             0.6 * takeover_timeout,
             0.15 * takeover_timeout,
         )
-        self.epoch, self.renewed, self.last_state, self.changed_at, self.first_poll = (
+        self.epoch, self.renewed_at, self.last_state, self.changed_at, self.first_poll = (
             None,
             -1e18,
             None,
@@ -26,7 +26,7 @@
             True,
         )
 
-    def look(self, now, epoch, leader, heartbeat):
+    def poll(self, now, epoch, leader, heartbeat):
         """Takes the store's state (epoch, leader's name or '', heartbeat), read at `now` ms; True if this
         controller may take over now."""
         first_poll, self.first_poll = self.first_poll, False
@@ -39,21 +39,21 @@
             not leader or first_poll and leader == self.name or now - self.changed_at >= self.takeover_timeout
         )
 
-    def taken(self, begun, now, epoch):
+    def record_acquisition(self, begun, now, epoch):
         """The lease was acquired under `epoch` by a write that took from `begun` until `now` (ms)."""
         self.epoch = epoch
-        self.kept(begun, now)
+        self.record_renewal(begun, now)
 
-    def kept(self, begun, now):
+    def record_renewal(self, begun, now):
         """The lease was renewed by a write that took from `begun` until `now` (ms). Standbys may have seen
         the heartbeat at the very beginning of the write; therefore a slow disk, or a pause before its
         return was noticed, must not extend the lease."""
-        self.renewed = min(now, begun + self.takeover_timeout - self.lease)
+        self.renewed_at = min(now, begun + self.takeover_timeout - self.lease)
 
-    def lost(self, now):
+    def record_loss(self, now):
         """Another controller has taken over."""
         self.epoch, self.last_state, self.changed_at = None, None, now
 
-    def acts(self, now):
+    def is_valid(self, now):
         """True while this controller's lease is valid."""
-        return self.epoch is not None and now - self.renewed <= self.lease
+        return self.epoch is not None and now - self.renewed_at <= self.lease
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -26,7 +26,7 @@
 from gannetfront.release.serve import Controller
 from gannetfront.release.stages import Stages
 from gannetfront.release.store import STEPS, Aside, BadStore, Fenced, Store
-from gannetfront.release.turns import Turn
+from gannetfront.release.turns import LeaderLease
 from gannetfront.release.webhooks import Pipeline
 from gannetfront.wire import control_pb2 as c, frames, http
 from rig import FLEET, Log
@@ -310,19 +310,19 @@
 
 
 def test_turns_go_by_beats_not_by_calendar():
-    one = Turn("b", 1000.0)
-    assert not one.look(0.0, 5, "a", 1) and not one.look(900.0, 5, "a", 2) and not one.look(1800.0, 5, "a", 2)
-    assert one.look(1900.0, 5, "a", 2)
-    assert Turn("a", 1000.0).look(0.0, 5, "a", 1) and Turn("b", 1000.0).look(0.0, 5, "", 1)
-    twin = Turn("a", 1000.0)
-    twin.look(0.0, 5, "a", 1)
-    twin.taken(0.0, 0.0, 6)
-    assert twin.acts(500.0) and not twin.acts(700.0), "acts on though it left no sign"
+    one = LeaderLease("b", 1000.0)
+    assert not one.poll(0.0, 5, "a", 1) and not one.poll(900.0, 5, "a", 2) and not one.poll(1800.0, 5, "a", 2)
+    assert one.poll(1900.0, 5, "a", 2)
+    assert LeaderLease("a", 1000.0).poll(0.0, 5, "a", 1) and LeaderLease("b", 1000.0).poll(0.0, 5, "", 1)
+    twin = LeaderLease("a", 1000.0)
+    twin.poll(0.0, 5, "a", 1)
+    twin.record_acquisition(0.0, 0.0, 6)
+    assert twin.is_valid(500.0) and not twin.is_valid(700.0), "acts on though it left no sign"
     # A write that came back long after it was made: others may have seen its sign at its beginning.
-    twin.kept(1000.0, 3000.0)
-    assert twin.acts(1990.0) and not twin.acts(2010.0)
-    twin.lost(800.0)
-    assert not twin.look(810.0, 7, "a", 1), "two of one name take the turn from each other for ever"
+    twin.record_renewal(1000.0, 3000.0)
+    assert twin.is_valid(1990.0) and not twin.is_valid(2010.0)
+    twin.record_loss(800.0)
+    assert not twin.poll(810.0, 7, "a", 1), "two of one name take the turn from each other for ever"
 
 
 def test_word_of_an_earlier_turn_is_refused():
@@ -403,7 +403,7 @@
     until(second.acts)
     assert second.stages.version == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
     assert not first.acts(), "two act"
-    first.turn.renewed = 1e18  # even one that believes in its turn writes nothing, and tells nothing
+    first.turn.renewed_at = 1e18  # even one that believes in its turn writes nothing, and tells nothing
     first.event("offered", 3)
     until(lambda: not first.acting)
     assert first.stages.version == 1 and second.store.restore()[0]["ver"] == 2
