--- a/gannetfront/benchlink/codec.py
+++ b/gannetfront/benchlink/codec.py
@@ -111,10 +111,10 @@
 
 def parse_deployment(text):
     """The Deployment for settings as JSON text; raises BadSetting or json.JSONDecodeError."""
-    return facts(json.loads(text))
+    return deployment_from_settings(json.loads(text))
 
 
-def facts(settings):
+def deployment_from_settings(settings):
     """The Deployment for settings as an object from any source; raises BadSetting."""
     root = Section(settings, "settings.")
     ceilings, rules, family, fees = (
--- a/gannetfront/edge/config.py
+++ b/gannetfront/edge/config.py
@@ -60,7 +60,7 @@
 
     def __init__(self, told, environment):
         settings = part(told, "settings", dict, "")
-        self.facts = codec.facts(settings)
+        self.facts = codec.deployment_from_settings(settings)
         zones, kinds = (
             part(settings, "localities", list, "settings."),
             part(settings, "models", list, "settings."),
