--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -34,7 +34,7 @@
     """Serve with the settings of the FLEET and of this CONTROLLER."""
     from ..release import webhooks
     from ..release.calendar import Calendar
-    from ..release.scripted import Scripted
+    from ..release.scripted import ControllerScript
     from ..release.sending import Sender
     from ..release.serve import Controller
     from ..release.store import Aside, BadStore, Store
@@ -43,13 +43,19 @@
     log = logs("gannet-release", log_level)
     facts, mine = settings(schema.Fleet, fleet), settings(schema.Controller, controller)
     day = day_of(script_file) if script_file else None
-    scripted = Scripted(
+    scripted = ControllerScript(
         day, records, host.now() if start is None else start, f"release.{mine.name}.{os.getpid()}"
     )
     rollout = load.deployment(facts, 0, "", 1.0).rollout
     try:
         one = Controller(
-            facts, mine, rollout, day.fleet["nodes"] if day else size, log, scripted.late, scripted.told
+            facts,
+            mine,
+            rollout,
+            day.fleet["nodes"] if day else size,
+            log,
+            scripted.news_delay,
+            scripted.record_message,
         )
         if mine.store:
             one.store = Aside(Store(mine.store))
@@ -91,7 +97,7 @@
             ready_file, " ".join([one.listener.where, *([hooks.where] if mine.hooks_listen else [])]).encode()
         )
     one.begin()
-    scripted.play(one)
+    scripted.schedule(one)
     host.on_signal(("SIGTERM", "SIGINT"), scripted.close)
     scripted.done.wait()
     one.close()
--- a/gannetfront/release/scripted.py
+++ b/gannetfront/release/scripted.py
@@ -4,7 +4,7 @@
 from .. import host
 
 
-class Scripted:
+class ControllerScript:
     """The part of a day script that concerns one controller process. Without a day it disturbs nothing;
     without a folder it records nothing."""
 
@@ -21,12 +21,12 @@
                 Table(folder, "events", process_name),
             )
 
-    def late(self):
+    def news_delay(self):
         """Delay (ms) that the script imposes at present on news from the controller."""
         now = host.now() - self.start
         return max([t.ms for t in self.day.during("report_late", now)], default=0.0) if self.day else 0.0
 
-    def told(self, at, proxy, message):
+    def record_message(self, at, proxy, message):
         """Records that `message` (a Stage or a NodeList) was sent to `proxy` at `at` ms."""
         if not self.notifications:
             return
@@ -64,7 +64,7 @@
                 0,
             )
 
-    def play(self, controller):
+    def schedule(self, controller):
         """Schedules the day's offers and link cuts, and records the events of `controller`."""
         if not self.day:
             return
