--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,18 +7,18 @@
 from gannetfront.wire import control_pb2 as c, frames, generate, http
 from rig import FLEET
 
-SMALL = settings(max_examples=60, deadline=None, derandomize=True)
+FEW_EXAMPLES = settings(max_examples=60, deadline=None, derandomize=True)
 NAMES = st.text("abcdefgh-", min_size=1, max_size=12).map(lambda s: b"x-" + s.encode())
 VALUES = st.text("abc ,;=0189", max_size=30).map(lambda s: s.strip().encode())
 
 
-def pieces(data, cuts):
+def split_at(data, cuts):
     """`data` split at the offsets `cuts`."""
     offsets = sorted({min(cut, len(data)) for cut in cuts})
     return [data[begin:end] for begin, end in zip([0, *offsets], [*offsets, len(data)])]
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(
     st.lists(
         st.tuples(st.lists(st.tuples(NAMES, VALUES), max_size=5), st.binary(max_size=200)),
@@ -30,14 +30,14 @@
 def test_requests_are_parsed_alike_for_any_chunk_boundaries(requests, cuts):
     data = b"".join(http.request(b"/op", b"h", headers, body) for headers, body in requests)
     reader = http.RequestReader(16384, 1024)
-    for piece in pieces(data, cuts):
+    for piece in split_at(data, cuts):
         reader.feed(piece)
     assert [(request[3], [h for h in request[2] if h[0].startswith(b"x-")]) for request in reader.ready] == [
         (body, headers) for headers, body in requests
     ]
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(
     st.integers(200, 599).filter(lambda s: s not in (204, 304)),
     st.lists(st.tuples(NAMES, VALUES), max_size=5),
@@ -46,12 +46,12 @@
 )
 def test_responses_are_parsed_alike_for_any_chunk_boundaries(status, headers, body, cuts):
     reader = http.AnswerReader(1 << 16)
-    for piece in pieces(http.answer(status, headers, body), cuts):
+    for piece in split_at(http.answer(status, headers, body), cuts):
         reader.feed(piece)
     assert (reader.whole, reader.status, reader.body, reader.reusable) == (True, status, body, True)
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(st.binary(max_size=400))
 def test_arbitrary_bytes_are_parsed_or_rejected(data):
     for reader, error_class in (
@@ -65,12 +65,12 @@
             assert str(error)
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(st.lists(st.integers(0, 2**40), min_size=1, max_size=6), st.lists(st.integers(0, 200), max_size=8))
 def test_frames_are_parsed_alike_for_any_chunk_boundaries(numbers, cuts):
     data = b"".join(frames.pack(vote=c.Vote(number=n)) for n in numbers)
     reader, received = frames.FrameReader(), []
-    for piece in pieces(data, cuts):
+    for piece in split_at(data, cuts):
         received += reader.feed(piece)
     assert [message.number for _, message in received] == numbers
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -34,7 +34,7 @@
     vote_ok,
 )
 from rig import Log
-from test_codecs import SMALL, pieces
+from test_codecs import FEW_EXAMPLES, split_at
 
 OPS = {b"look": (0, False), b"place": (1, True), b"debit": (2, False)}
 CUTS = st.lists(st.integers(0, 400), max_size=10)
@@ -104,7 +104,7 @@
         pg.statement(sql, OPS)
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(CUTS)
 def test_clients_are_read_the_same_however_they_are_cut(cuts):
     reader, got = pg.ClientReader(), []
@@ -114,7 +114,7 @@
         + pg.message(b"Q", b"one\0")
         + pg.message(b"Q", b"\0")
     )
-    for piece in pieces(data + pg.message(b"X", b""), cuts):
+    for piece in split_at(data + pg.message(b"X", b""), cuts):
         reader.feed(piece)
         while not got or got[-1] != ("end",):
             one = reader.take()
@@ -161,12 +161,12 @@
 
 def reply(data, cuts=()):
     reader = pg.Reply(1 << 18)
-    for piece in pieces(data, cuts):
+    for piece in split_at(data, cuts):
         reader.feed(piece)
     return reader
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(st.binary(max_size=300), CUTS)
 def test_answers_are_read_the_same_however_they_are_cut(value, cuts):
     reader = reply(pg.message(b"S", b"server_load\0inflight=7,util=0.5\0") + row(value), cuts)
@@ -179,7 +179,7 @@
     assert reader.load() == {"inflight": 7.0, "busy": 0.5}
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(st.binary(max_size=400))
 def test_any_bytes_are_read_or_refused(data):
     started = pg.ClientReader()
@@ -203,7 +203,7 @@
 GOOD = row(b"value")
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(st.integers(0, len(GOOD) - 1), st.integers(0, 255))
 def test_a_spoilt_byte_never_makes_two_values_of_one(at, byte):
     """Noise in the frame is refused or leaves it unfinished; within the value it cannot be told, and the value alone differs."""
@@ -281,14 +281,14 @@
 )
 
 
-@SMALL
+@FEW_EXAMPLES
 @given(CUTS, st.integers(1, 60))
 def test_notices_are_read_the_same_however_they_are_cut(cuts, size):
     chunks = b"".join(
         b"%x\r\n%s\r\n" % (len(c), c) for c in (EVENTS[n : n + size] for n in range(0, len(EVENTS), size))
     )
     reader, told = platform.Notices(), []
-    for piece in pieces(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + chunks, cuts):
+    for piece in split_at(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + chunks, cuts):
         told += reader.feed(piece)
     assert [event for event, _ in told] == ["news", "counts"] and reader.unread == 1
     assert platform.state(told[0][1]) == (1, 310.0, 0.28, 42, 0)
