--- a/gannetfront/benchlink/__main__.py
+++ b/gannetfront/benchlink/__main__.py
@@ -42,10 +42,8 @@
                 elif name == "start":
                     settings = line.split(" ", 2)[2]
                     deployment = self.deployments[instance] = codec.parse_deployment(settings)
-                    self.balancers[instance], self.writers[instance] = (
-                        Balancer(int(words[1]), deployment),
-                        codec.LineWriter(),
-                    )
+                    self.balancers[instance] = Balancer(int(words[1]), deployment)
+                    self.writers[instance] = codec.LineWriter()
                     events[instance] = []
                 elif name == "power_off":
                     self.balancers.pop(instance, None)
--- a/gannetfront/release/outbox.py
+++ b/gannetfront/release/outbox.py
@@ -19,12 +19,10 @@
     def __init__(self, random, max_attempts, first_wait, longest_wait, max_in_flight):
         """`random.random()` spreads the retries; waits are in ms; messages of up to `max_in_flight` builds
         are sent concurrently."""
-        self.random, self.max_attempts, self.first_wait, self.longest_wait = (
-            random,
-            max_attempts,
-            first_wait,
-            longest_wait,
-        )
+        self.random = random
+        self.max_attempts = max_attempts
+        self.first_wait = first_wait
+        self.longest_wait = longest_wait
         self.max_in_flight = max_in_flight
         self.clear()
 
--- a/gannetfront/release/scripted.py
+++ b/gannetfront/release/scripted.py
@@ -16,10 +16,8 @@
         if folder:
             from ..records import Table
 
-            self.notifications, self.events = (
-                Table(folder, "told", process_name),
-                Table(folder, "events", process_name),
-            )
+            self.notifications = Table(folder, "told", process_name)
+            self.events = Table(folder, "events", process_name)
 
     def news_delay(self):
         """Delay (ms) that the script imposes at present on news from the controller."""
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -22,14 +22,12 @@
     """A place for one node of one build in the fleet."""
 
     def __init__(self, slot, version, zone, cell):
-        self.slot, self.version, self.zone, self.cell, self.ready, self.leaving = (
-            slot,
-            version,
-            zone,
-            cell,
-            False,
-            False,
-        )
+        self.slot = slot
+        self.version = version
+        self.zone = zone
+        self.cell = cell
+        self.ready = False
+        self.leaving = False
 
 
 class Stages:
@@ -44,17 +42,13 @@
         fraction) of the known proxies are present."""
         self.lease, self.known_for, self.quorum, self.supersede = lease, known_for, quorum, supersede
         self.last_seen, self.hold, self.freeze_reason, self.logged_reason = {}, None, None, None
-        self.machine_shares, self.caps, self.soak, self.vote_life = (
-            rollout.machine_shares,
-            rollout.caps,
-            rollout.soak,
-            rollout.vote_life,
-        )
-        self.on_votes, self.back_votes, self.notify_interval = (
-            rollout.on_votes,
-            rollout.back_votes,
-            rollout.told_every,
-        )
+        self.machine_shares = rollout.machine_shares
+        self.caps = rollout.caps
+        self.soak = rollout.soak
+        self.vote_life = rollout.vote_life
+        self.on_votes = rollout.on_votes
+        self.back_votes = rollout.back_votes
+        self.notify_interval = rollout.told_every
         self.allowance, self.tokens = rollout.vote_allowance, [(2 * rollout.vote_allowance, 0.0)] * 2
         self.size, self.zones, self.cell_size = size, zones, cell_size
         self.slots, self.next_slot, self.queue, self.votes = {}, 0, [], {}
@@ -62,7 +56,10 @@
         self.now = self.entered_at = self.nodes_placed_at = self.notified_at = 0.0
         self.soak_start, self.figures = None, {}
 
-    cap = property(lambda self: {TRIAL: self.caps[self.stage], RELEASED: 1.0}.get(self.phase, 0.0))
+    @property
+    def cap(self):
+        """Exposure cap of the current build, as a fraction."""
+        return {TRIAL: self.caps[self.stage], RELEASED: 1.0}.get(self.phase, 0.0)
 
     def saved(self):
         """The state that must survive a restart, as JSON values. Times are stored as elapsed ms, because
@@ -102,11 +99,9 @@
             saved[key] for key in ("ver", "released", "phase", "stage")
         )
         self.queue, self.next_slot = list(saved["queue"]), saved["next_slot"]
-        self.entered_at, self.nodes_placed_at, self.soak_start = (
-            timestamp(saved["since"]),
-            timestamp(saved["placed"]),
-            timestamp(saved["clock"]),
-        )
+        self.entered_at = timestamp(saved["since"])
+        self.nodes_placed_at = timestamp(saved["placed"])
+        self.soak_start = timestamp(saved["clock"])
         self.votes = {proxy: (verdict, timestamp(elapsed)) for proxy, verdict, elapsed in saved["votes"]}
         self.last_seen = {proxy: timestamp(elapsed) for proxy, elapsed in saved.get("members", ())}
         self.hold = saved.get("held")
@@ -137,14 +132,12 @@
         self.out.stage()
 
     def enter(self, phase, stage, why):
-        self.phase, self.stage, self.entered_at, self.nodes_placed_at, self.soak_start, self.votes = (
-            phase,
-            stage,
-            self.now,
-            self.now,
-            None,
-            {},
-        )
+        self.phase = phase
+        self.stage = stage
+        self.entered_at = self.now
+        self.nodes_placed_at = self.now
+        self.soak_start = None
+        self.votes = {}
         self.figures = {}
         self.out.log("stage", dict(build=self.version, stage=stage, phase=phase, cap=self.cap, why=why))
         self.notify()
--- a/gannetfront/release/turns.py
+++ b/gannetfront/release/turns.py
@@ -12,19 +12,15 @@
 
     def __init__(self, name, takeover_timeout):
         """`name` is unique among the controllers of one store; `takeover_timeout` in ms."""
-        self.name, self.takeover_timeout, self.lease, self.renew_every = (
-            name,
-            takeover_timeout,
-            0.6 * takeover_timeout,
-            0.15 * takeover_timeout,
-        )
-        self.epoch, self.renewed_at, self.last_state, self.changed_at, self.first_poll = (
-            None,
-            -1e18,
-            None,
-            0.0,
-            True,
-        )
+        self.name = name
+        self.takeover_timeout = takeover_timeout
+        self.lease = 0.6 * takeover_timeout
+        self.renew_every = 0.15 * takeover_timeout
+        self.epoch = None
+        self.renewed_at = -1e18
+        self.last_state = None
+        self.changed_at = 0.0
+        self.first_poll = True
 
     def poll(self, now, epoch, leader, heartbeat):
         """Takes the store's state (epoch, leader's name or '', heartbeat), read at `now` ms; True if this
