--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -119,7 +119,7 @@
                 out.place(s.slot, s.version, s.zone, s.cell, False)
 
     def round(self, now, events, out):
-        """Applies `events` in order, then makes the transition that is due; decisions go to `out`."""
+        """Applies `events` in order, then makes the transitions that are due; decisions go to `out`."""
         self.now, self.out = now, out
         for name, *fields in events:
             getattr(self, name)(*fields)
