--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -502,7 +502,7 @@
                     getattr(self, "from_" + name, lambda *x: None)(link, message)
                 if link.role == c.PROXY and host.now() - link.heard > HEARD_EVERY:
                     link.heard = host.now()
-                    self.event("proxy_seen", link.id)
+                    self.event("heard", link.id)
         except frames.BadFrame as trouble:
             self.logger.error("link sent garbage", id=link.id, why=str(trouble))
         except (OSError, host.Timeout) as trouble:
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -3,7 +3,7 @@
 `Stages.round(now, events, out)` applies events once a round and writes its decisions to `out`. Times are in
 ms. An event is a tuple of a method's name and its arguments:
   offered(version) · node(slot, ready) · gone(slot) · vote(proxy, number, stage, version, verdict) ·
-  proxy_seen(proxy) · frozen(why or None) · order(number, kind, build, by, why), an order of an operator
+  heard(proxy) · frozen(why or None) · order(number, kind, build, by, why), an order of an operator
 The writer implements: place(slot, version, zone, cell, warm) · remove(slot) · stage() ·
 answer(proxy, number, status) · ordered(number, accepted, text) · log(what, facts).
 
@@ -175,7 +175,7 @@
         tokens, refilled_at = self.tokens[bucket]
         tokens = min(2 * self.allowance, tokens + (self.now - refilled_at) * self.allowance / 1000)
         self.tokens[bucket] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
-        self.proxy_seen(proxy)
+        self.heard(proxy)
         if tokens < 1:
             self.out.answer(proxy, number, FULL)
             return
@@ -202,7 +202,7 @@
         """True if a majority of the present proxies vote HOLD. A single proxy may be wrong about a site."""
         return 2 * len(self.valid_votes(HOLD)) > sum(map(self.present, self.last_seen))
 
-    def proxy_seen(self, proxy):
+    def heard(self, proxy):
         """A sign of life from a proxy; renews its lease."""
         self.last_seen[proxy] = self.now
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -102,13 +102,13 @@
 
     def soaked(self, *there):
         for _ in range(13):
-            self.round(*[("proxy_seen", p) for p in there])
+            self.round(*[("heard", p) for p in there])
 
 
 @pytest.fixture
 def leased():
     one = Played(lease=3000.0, known_for=60000.0, quorum=0.5)
-    one.round(*[("proxy_seen", p) for p in "abcd"], ("offered", 2))
+    one.round(*[("heard", p) for p in "abcd"], ("offered", 2))
     return one
 
 
@@ -234,7 +234,7 @@
 
     @rule(some=st.sets(st.sampled_from("abcd")), step=st.sampled_from([25.0, 1000.0, 2600.0]))
     def time(self, some, step):
-        self.step(*[("proxy_seen", p) for p in sorted(some)], step=step)
+        self.step(*[("heard", p) for p in sorted(some)], step=step)
 
     @rule(ahead=st.integers(0, 3))
     def offer(self, ahead):
