--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -1,48 +1,57 @@
-"""Who holds a duty: a lease by a majority of electors, without I/O and without a disk.
-
-PaxosLease (Trencseni, Gazso, Reinhardt 2012): a candidate prepares a ballot, proposes itself under it for a span, and holds from a
-majority's word on, by its own clock counted from before it proposed. Electors keep nothing over a restart: one that has just started
-says nothing until whatever it may have said before has ended. Clocks may run fast or slow by `rate`; calendars count for nothing.
-
-Holding is not enough to act: a process may stop between the look and the act. Every act carries the token, and whoever is acted upon
-refuses one below the highest that it saw (`Fence`). Tokens rise with each holder as far as the electors remember; where all of them
-forgot, whoever is acted upon tells the holder, which takes the duty anew above it (`Candidate.refused`).
-
-Electors are changed by way of settings that name both sets (`Candidate(before=)`): a majority of each is needed, so that the step from
-the old ones to both, and from both to the new ones, never has two majorities side by side. Each step is a later `generation`; rounds
-begin above all of an earlier one's, so that a fence refuses whoever missed two steps.
-
-A ballot, and a token, is (round, number, life): `life` is drawn at each start, so that no word to an earlier life is taken for one to
-this. Messages: prepare(ballot) · propose(ballot, token, span) · release(token), answered by promise(ballot, held by, token, ms left) ·
-accepted(ballot) · refused(ballot, highest round, token, ms left).
+"""Leader election for a duty: a lease granted by a majority of electors, without I/O and without a disk.
+
+The protocol is PaxosLease (Trencseni, Gazso, Reinhardt 2012). A candidate prepares a ballot, proposes itself
+under that ballot for `span` ms, and holds the lease once a majority has accepted. Its own expiry is counted
+from before it proposed. Electors persist nothing: after a start an elector stays silent until every lease
+that it may have granted before has expired. Clocks may run fast or slow by the fraction `rate`; wall-clock
+time is not used. All times are ms of the caller's monotonic clock.
+
+A valid lease alone does not make an act safe, because a process may stall between the check and the act.
+Every act therefore carries the holder's token, and the proxy acted upon rejects any token below the highest
+that it has seen (`Fence`). Tokens increase from one holder to the next as long as the electors remember them.
+When all electors have restarted, the proxy acted upon reports its higher token, and the holder steps down and
+acquires the duty again above it (`Candidate.refused`).
+
+Electors are replaced by way of settings that name both sets (`Candidate(before=)`). A majority of each set is
+needed, so no step, from the old set to both or from both to the new set, allows two disjoint majorities. Each
+step has a later `generation`. Rounds of a generation begin above all rounds of earlier ones, so a fence
+rejects a candidate whose settings are two steps behind.
+
+A ballot, and a token, is (round, number, life). `life` is drawn at random at each start, so that an answer to
+an earlier process of the same proxy is not taken for an answer to this one. Requests: prepare(ballot),
+propose(ballot, token, span), release(token). Answers: promise(ballot, holder, token, ms left),
+accepted(ballot), refused(ballot, highest round, token, ms left).
 """
 
 GENERATION = 2**32  # rounds of one generation of electors
 PRESSED, OUTDATED = (
     3,
     10,
-)  # tries on end of who was handed it; spans between tries of one whose settings are behind
+)  # consecutive immediate retries after a hand-over; spans between attempts while the settings are outdated
 
 
 def surely(span, rate):
-    """What a clock must show before `span` is over by every clock that runs within `rate` of it."""
+    """The least ms that a local clock must count before `span` ms are over on every clock within `rate` of
+    true time."""
     return span * (1 + rate) / (1 - rate)
 
 
 def at_most(span, rate):
-    """What a clock may show at the latest while `span` is not over by any clock within `rate` of it."""
+    """The most ms that a local clock may count while `span` ms are not over on any clock within `rate` of
+    true time."""
     return span * (1 - rate) / (1 + rate)
 
 
 class Elector:
-    """One duty at one elector. `longest` is the longest span that any candidate may ask for, ms."""
+    """One duty's acceptor at one elector. `max_span` (ms) is the longest lease that a candidate may ask
+    for."""
 
-    def __init__(self, now, longest, rate):
-        self.rate, self.longest, self.quiet_until = rate, longest, now + surely(longest, rate)
-        self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, end)
+    def __init__(self, now, max_span, rate):
+        self.rate, self.max_span, self.quiet_until = rate, max_span, now + surely(max_span, rate)
+        self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, expiry)
 
     def hear(self, now, source, message):
-        """The answer, or None."""
+        """Handles a candidate's request; returns the answer, or None where there is none."""
         kind, ballot, *fields = message
         self.highest = max(self.highest, ballot[0])
         if now < self.quiet_until:
@@ -53,15 +62,15 @@
             if self.accepted and self.accepted[1] == ballot:
                 self.accepted = None
             return None
-        held = self.accepted
+        lease = self.accepted
         if ballot < self.promised:
-            # Who asks with a round from long ago hears all the same how long it has to wait.
-            return "refused", ballot, self.highest, held and held[1], held[2] - now if held else 0.0
+            # A candidate with an old round still learns how long the present lease lasts.
+            return "refused", ballot, self.highest, lease and lease[1], lease[2] - now if lease else 0.0
         if kind == "prepare":
             self.promised = ballot
-            return "promise", ballot, held and held[0], held and held[1], held[2] - now if held else 0.0
+            return "promise", ballot, lease and lease[0], lease and lease[1], lease[2] - now if lease else 0.0
         token, span = fields
-        if span > self.longest:
+        if span > self.max_span:
             return "refused", ballot, self.highest, None, 0.0
         self.promised, self.accepted = ballot, (ballot[1], token, now + span)
         self.highest = max(self.highest, token[0])
@@ -69,7 +78,10 @@
 
 
 class Candidate:
-    """`electors` are numbers; `chance.random()` spreads tries. `out` gets send(elector, message) · gained(token) · lost(why)."""
+    """One proxy's proposer for one duty, and the lease while it holds it.
+
+    `electors` are numbers, `before` the electors that are being replaced; `chance.random()` spreads retries.
+    `out` has the callbacks send(elector, message), gained(token) and lost(why)."""
 
     def __init__(self, me, life, electors, span, rate, chance, now, wants=True, before=(), generation=0):
         self.me, self.life, self.span, self.rate = me, life, span, rate
@@ -77,155 +89,209 @@
             tuple(dict.fromkeys((*electors, *before))),
             [s for s in (tuple(electors), tuple(before)) if s],
         )
-        self.chance, self.wants, self.round, self.ended = chance, wants, generation * GENERATION, None
+        self.chance, self.wants, self.round, self.ended_token = chance, wants, generation * GENERATION, None
         self.generation, self.outdated = generation, False
-        self.ballot, self.phase, self.said, self.begun = None, None, {}, now
-        self.token, self.until, self.next_try, self.why, self.failed = None, now, now, "never held", 0
-        self.behind = 0.0  # ms that it leaves others a start, before it tries for what may be free
-        self.pressed = 0  # tries yet that follow one another at once
-        self.seen = None  # the token of whom electors last told that it holds
+        self.ballot, self.phase, self.said, self.phase_started_at = None, None, {}, now
+        self.token, self.until, self.next_try, self.why, self.failed_attempts = (
+            None,
+            now,
+            now,
+            "never held",
+            0,
+        )
+        self.behind = 0.0  # ms by which this candidate delays its attempts, so that preferred ones go first
+        self.pressed = 0  # immediate retries that remain after a hand-over
+        self.seen = None  # token of the holder that the electors last reported
 
     def holds(self, now):
-        """The token while it holds, else None. To be asked right before each act, and not relied on after."""
+        """The token while the lease is valid, else None. Check it right before each act; it may expire at any
+        time after."""
         return self.token if self.token is not None and now < self.until else None
 
     def due_at(self):
+        """When `tick` is to be called next."""
         if self.phase:
-            return min(self.begun + self.wait(), self.until) if self.token else self.begun + self.wait()
+            return (
+                min(self.phase_started_at + self.answer_timeout(), self.until)
+                if self.token
+                else self.phase_started_at + self.answer_timeout()
+            )
         return min(self.next_try, self.until) if self.token else self.next_try
 
-    def wait(self):
+    def answer_timeout(self):
         """ms in which electors are to answer: a fifth of the span, so that a renewal may fail twice."""
         return self.span / 5
 
     def tick(self, now, out):
+        """Expires the lease, ends an attempt that timed out, and starts the next one when it is due."""
         if self.token is not None and now >= self.until:
-            self.lose("it could not be renewed in time", out)
-        if self.phase and now >= self.begun + self.wait():
-            self.give_up(now, 0.0)
+            self.step_down("it could not be renewed in time", out)
+        if self.phase and now >= self.phase_started_at + self.answer_timeout():
+            self.abandon_attempt(now, 0.0)
         if not self.phase and self.wants and now >= self.next_try:
-            self.try_for_it(now, out)
-
-    def give_up(self, now, more):
-        # Spread, wider with each try that led to nothing though nobody held (`more` is what another's lease has left): thirty
-        # that wake together must not undo each other's ballots for ever. Soon for who holds.
-        self.phase, self.failed = None, 0 if more else min(self.failed + 1, 5)
+            self.start_attempt(now, out)
+
+    def abandon_attempt(self, now, remaining):
+        """Ends the attempt and schedules the next; `remaining` is the ms left of another holder's lease, 0
+        where there is none."""
+        # The random back-off widens with each attempt that failed while nobody held the lease: thirty
+        # candidates that wake together must not invalidate each other's ballots for ever. The holder itself
+        # retries soon.
+        self.phase, self.failed_attempts = None, 0 if remaining else min(self.failed_attempts + 1, 5)
         self.next_try = (
             now
-            + more
-            + self.chance.random() * self.wait() * (0.5 if self.token or more else 0.25 * 2.0**self.failed)
+            + remaining
+            + self.chance.random()
+            * self.answer_timeout()
+            * (0.5 if self.token or remaining else 0.25 * 2.0**self.failed_attempts)
         )
         if self.token is None:
             self.next_try += self.behind
-        if self.pressed and not more:
-            # It was handed on to this one: its electors only named a higher round, and nobody else is to be left a start.
+        if self.pressed and not remaining:
+            # The duty was handed over to this candidate and the electors only reported a higher round: no
+            # other goes first.
             self.pressed, self.next_try = self.pressed - 1, now
 
-    def try_for_it(self, now, out):
+    def start_attempt(self, now, out):
         self.round += 1
-        self.ballot, self.phase, self.said, self.begun = (self.round, self.me, self.life), "prepare", {}, now
+        self.ballot, self.phase, self.said, self.phase_started_at = (
+            (self.round, self.me, self.life),
+            "prepare",
+            {},
+            now,
+        )
         for elector in self.electors:
             out.send(elector, ("prepare", self.ballot))
 
-    def enough(self, those):
-        """A majority, of both sets while electors are changed."""
-        return all(sum(e in those for e in some) > len(some) // 2 for some in self.sets)
+    def enough(self, responders):
+        """True where `responders` are a majority, of both sets while electors are being replaced."""
+        return all(sum(e in responders for e in members) > len(members) // 2 for members in self.sets)
 
     def hear(self, now, elector, message, out):
+        """Handles an elector's answer."""
         kind, ballot, *fields = message
         if kind == "refused":
-            self.learn(fields[0])
-        # Only what answers this very ballot counts: the rest was said to an earlier try, or to an earlier life.
+            self.observe_round(fields[0])
+        # Only an answer to this very ballot counts: any other belongs to an earlier attempt or to an earlier
+        # process.
         if ballot != self.ballot or elector not in self.electors:
             return
         if kind == "refused" and self.phase:
-            # By a round that others have passed, as a holder does with each renewal: that says nothing against trying again
-            # at once, or, while it holds, as soon as its lease may end.
-            token, left = fields[1:]
-            left = left if token and token[1:] != (self.me, self.life) and token != self.ended else 0.0
-            self.give_up(now, max(left, OUTDATED * self.span) if self.outdated else left)
+            # The round was too low, as the holder passes it with each renewal. The next attempt may start at
+            # once or, while another holds the lease, as soon as that may expire.
+            token, remaining = fields[1:]
+            remaining = (
+                remaining
+                if token and token[1:] != (self.me, self.life) and token != self.ended_token
+                else 0.0
+            )
+            self.abandon_attempt(now, max(remaining, OUTDATED * self.span) if self.outdated else remaining)
         elif kind == "promise" and self.phase == "prepare":
             self.promise(now, elector, *fields, out)
         elif kind == "accepted" and self.phase == "propose":
             self.said[elector] = True
             if self.enough(self.said):
-                self.gain(now, out)
+                self.acquire(now, out)
 
-    def learn(self, highest):
-        """A round that another knows of. One of a later generation is not gone above: whoever did, with settings that are two steps
-        behind, would pass every fence with a majority that counts no more."""
+    def observe_round(self, highest):
+        """Notes a round that another process knows of, to start above it. A round of a later generation is
+        not adopted: a candidate whose settings are two steps behind would pass every fence with a majority of
+        electors that no longer count."""
         if highest // GENERATION > self.generation:
             self.outdated = True
         else:
             self.round = max(self.round, highest)
 
-    def promise(self, now, elector, holder, token, left, out):
+    def promise(self, now, elector, holder, token, remaining, out):
+        """Handles a promise: proposes once a majority has no lease of another holder, gives up once that is
+        out of reach."""
         if token:
-            self.learn(token[0])
-        # One's own lease is open to oneself, but an earlier life's is another's; so is one whose holder said that it has ended.
+            self.observe_round(token[0])
+        # This process's own lease does not block it, nor does one that its holder has reported as ended. A
+        # lease of an earlier process of the same proxy does.
         self.said[elector] = (
-            0.0 if token is None or token[1:] == (self.me, self.life) or token == self.ended else left
+            0.0
+            if token is None or token[1:] == (self.me, self.life) or token == self.ended_token
+            else remaining
         )
         if self.said[elector] > 0:
             self.seen = token
-        if self.enough([e for e, left in self.said.items() if left <= 0]):
+        if self.enough([e for e, remaining in self.said.items() if remaining <= 0]):
             token = self.holds(now) or self.ballot
-            self.phase, self.said, self.begun = "propose", {}, now  # counted from here: before anyone accepts
-            self.proposed = token
+            self.phase, self.said, self.phase_started_at = (
+                "propose",
+                {},
+                now,
+            )  # the lease counts from here: before any elector accepts
+            self.proposed_token = token
             for elector in self.electors:
                 out.send(elector, ("propose", self.ballot, token, self.span))
         elif not self.enough([e for e in self.electors if self.said.get(e, 0.0) <= 0]):
-            self.give_up(now, min(left for left in self.said.values() if left > 0))
-
-    def gain(self, now, out):
-        self.phase, self.failed, until = None, 0, self.begun + at_most(self.span, self.rate)
+            self.abandon_attempt(now, min(remaining for remaining in self.said.values() if remaining > 0))
+
+    def acquire(self, now, out):
+        """A majority has accepted: the lease is gained or renewed, unless it has expired in the meantime."""
+        self.phase, self.failed_attempts, until = (
+            None,
+            0,
+            self.phase_started_at + at_most(self.span, self.rate),
+        )
         if now >= until:
-            return self.give_up(now, 0.0)
-        news, self.token, self.until = self.holds(now) != self.proposed, self.proposed, until
-        self.next_try = self.begun + 0.4 * at_most(self.span, self.rate)
-        if news:
+            return self.abandon_attempt(now, 0.0)
+        is_new, self.token, self.until = self.holds(now) != self.proposed_token, self.proposed_token, until
+        self.next_try = self.phase_started_at + 0.4 * at_most(self.span, self.rate)
+        if is_new:
             self.pressed = 0
             out.gained(self.token)
 
-    def lose(self, why, out):
+    def step_down(self, why, out):
         self.token, self.why = None, why
         out.lost(why)
 
     def refused(self, now, token, out):
-        """Whoever was acted upon knows a higher token: the duty is let go, and taken anew above it if need be."""
-        self.learn(token[0])
+        """The proxy acted upon knows a higher token: steps down, and acquires the duty again above that
+        token."""
+        self.observe_round(token[0])
         if self.token is not None and self.token < token:
-            # Not told to the electors: what is still on its way under this token is over with its lease, not before.
+            # The lease is not released at the electors: acts in flight under this token are over only when
+            # the lease expires.
             self.phase = None
-            self.lose("a higher token was seen", out)
+            self.step_down("a higher token was seen", out)
             self.next_try = now + (OUTDATED * self.span if self.outdated else 0.0)
 
     def over(self, now, token):
-        """Its holder says that it has let go of `token`: that lease is in nobody's way, and this one is to try at once. False for a
-        word that is old."""
-        if self.token is None and (self.ended is None or token > self.ended):
-            self.ended, self.phase, self.failed, self.next_try, self.pressed = token, None, 0, now, PRESSED
-            self.learn(token[0])
+        """The holder has reported that its lease `token` has ended: that lease no longer blocks this
+        candidate, and it tries at once. Returns False for an outdated report."""
+        if self.token is None and (self.ended_token is None or token > self.ended_token):
+            self.ended_token, self.phase, self.failed_attempts, self.next_try, self.pressed = (
+                token,
+                None,
+                0,
+                now,
+                PRESSED,
+            )
+            self.observe_round(token[0])
             return True
         return False
 
     def let_go(self, now, why, out):
-        """First it holds no more, then others are told: an orderly end."""
+        """Gives the lease up in order: it ends here first, and then the electors are notified."""
         token, self.phase = self.token, None
         if self.token is not None:
-            self.lose(why, out)
+            self.step_down(why, out)
             for elector in self.electors:
                 out.send(elector, ("release", token))
         self.next_try = now + self.span
 
 
 class Fence:
-    """At whoever is acted upon: the highest token seen, from below which nothing is accepted."""
+    """Kept by a proxy that is acted upon: the highest token seen. Lower tokens are rejected."""
 
     def __init__(self):
         self.highest = (0, -1, 0)
 
     def accepts(self, token):
+        """True, and raises the fence to `token`, unless `token` is below it."""
         if token < self.highest:
             return False
         self.highest = token
