--- a/gannetfront/members/core.py
+++ b/gannetfront/members/core.py
@@ -1,276 +1,343 @@
-"""Who of the roster is there, as one proxy sees it: SWIM with Lifeguard's local health, without I/O.
+"""Membership of the roster as one proxy sees it: SWIM with Lifeguard's local health, without I/O.
 
-Das, Gupta, Motivala: SWIM (2002): each period one member is probed, by others too where it does not answer; suspicion before death,
-incarnations to refute it, news on the back of probes. Dadgar, Phillips, Currey: Lifeguard (2018): who was itself held up, or is itself
-not answered, waits longer before it suspects; a suspicion ends the sooner the more members share it.
+SWIM (Das, Gupta, Motivala 2002): each period one member is probed, and also through other members where it
+does not answer. A member is suspected before it is declared gone, refutes a suspicion by a higher
+incarnation, and updates are piggybacked on probes. Lifeguard (Dadgar, Phillips, Currey 2018): a member that
+was itself stalled, or whose probes are not answered, waits longer before it suspects others, and a suspicion
+ends the sooner the more members confirm it.
 
-A view is a hint: it makes things quick, nothing that must be safe rests on it. Times are ms of any clock that does not step back.
-What is sent in a second does not grow with the fleet: a probe and its answer, and the answer to a probe, each with a few news.
+The view is a hint that makes reactions quick; nothing that must be safe relies on it. Times are ms of a
+monotonic clock. The traffic of one member does not grow with the fleet: a probe and its answer, and the
+answer to a probe, each with a few updates.
 """
 
 from math import log, log2
 
-ALIVE, SUSPECT, GONE, LEFT = 0, 1, 2, 3  # in the order in which one outweighs another of the same incarnation
-PING, ACK, ASK, NACK = 0, 1, 2, 3
-NEWS = 12  # of a datagram: with them it stays under 256 bytes
-ASKED = 3  # members that probe for one who got no answer
-WORST = 8  # of local health: waits are that many times longer
-GONE_EVERY = 4  # periods from one probe of a member that is gone to the next: cut sides find each other again
-SHARED = 3  # confirmations after which a suspicion is as short as it gets
-LONG = 6.0  # times that the longest suspicion is the shortest
+ALIVE, SUSPECT, GONE, LEFT = 0, 1, 2, 3  # of two states with the same incarnation the higher one wins
+PING, ACK, PING_REQ, NACK = 0, 1, 2, 3
+NEWS = 12  # updates in a datagram, which stays under 256 bytes with them
+INDIRECT_PROBES = 3  # members that are asked to probe a target that did not answer
+MAX_LOCAL_HEALTH = 8  # Lifeguard's local health score; timeouts are multiplied by 1 + the score
+GONE_PROBE_INTERVAL = 4  # periods between probes of gone members, by which a healed partition is noticed
+MAX_CONFIRMATIONS = 3  # confirmations that shorten a suspicion to its minimum
+MAX_SUSPICION_FACTOR = 6.0  # the longest suspicion, as a multiple of the shortest
 
 
 class Member:
-    __slots__ = "zone", "state", "incarnation", "since", "heard", "sharers", "told"
+    """What is known of one member: its state, and when a message of it arrived last (None: never)."""
+
+    __slots__ = "zone", "state", "incarnation", "state_since", "heard", "confirmers", "transmissions"
 
     def __init__(self, zone, now):
-        self.zone, self.state, self.incarnation, self.since, self.heard = zone, ALIVE, 0, now, None
-        self.sharers, self.told = set(), 0  # who says so too; how often the news of it was passed on
+        self.zone, self.state, self.incarnation, self.state_since, self.heard = zone, ALIVE, 0, now, None
+        self.confirmers, self.transmissions = (
+            set(),
+            0,
+        )  # members that confirm a suspicion; times that the update was sent
 
 
 class Members:
-    """`roster` is {number: zone}; `chance.random()` spreads what must not fall in step. `out` gets send(number, message) and
-    changed(number, state): a message is (kind, seq, about, news), news [(number, state, incarnation)]."""
+    """The membership protocol of one member, `me`.
+
+    `roster` is {number: zone}, `period` the ms between probes; `random.random()` spreads what must not run in
+    step. `out` has the callbacks send(number, message) and changed(number, state). A message is (kind, seq,
+    about, updates), and updates are [(number, state, incarnation)]."""
 
-    def __init__(self, me, roster, period, chance, now):
-        self.me, self.period, self.chance, self.began = me, period, chance, now
+    def __init__(self, me, roster, period, random, now):
+        self.me, self.period, self.random, self.started_at = me, period, random, now
         self.members = {n: Member(zone, now) for n, zone in sorted(roster.items())}
         self.members[me].heard = now
-        self.health, self.seq, self.turn, self.due, self.order = 0, 0, 0, now + chance.random() * period, []
-        self.probe = None  # (member, seq, sent, asked others at)
-        self.for_others, self.acked, self.tried = {}, None, 0  # seq of ours -> (who asked, their seq, until)
+        self.local_health, self.seq, self.probe_count, self.next_probe_at, self.probe_order = (
+            0,
+            0,
+            0,
+            now + random.random() * period,
+            [],
+        )
+        self.probe = None  # [target, seq, sent at, indirect probes sent at or None]
+        self.relayed_probes, self.last_ack_at, self.probes_since_ack = (
+            {},
+            None,
+            0,
+        )  # own seq -> (requester, its seq, expiry, target)
         self.leaving, self.suspects = False, set()
-        self.news = {}  # number -> times passed on
+        self.updates = {}  # number -> times that its update was sent
 
-    # ---- what follows from the fleet's size ----
+    # ---- timeouts and limits that follow from the fleet's size ----
 
     def shortest(self):
-        """ms of a suspicion that enough share."""
+        """ms of a suspicion that MAX_CONFIRMATIONS members confirm."""
         return 4.0 * max(1.0, log(max(2, len(self.members)), 10)) * self.period
 
-    def passes(self):
-        """Times that a news is passed on, until all have it but for bad luck."""
+    def max_transmissions(self):
+        """Times that an update is sent: enough for it to reach all members with high probability."""
         return 3 * max(1, int(log2(len(self.members)) + 1))
 
-    def patience(self):
-        return 1 + self.health
+    def health_multiplier(self):
+        """Lifeguard's multiplier of this member's own timeouts."""
+        return 1 + self.local_health
 
-    def suspected_for(self, member):
-        most, least = LONG * self.shortest(), self.shortest()
-        return max(least, most - (most - least) * log(1 + len(member.sharers)) / log(1 + SHARED))
+    def suspicion_timeout(self, member):
+        """ms until a suspected member is declared gone; it shrinks with each confirmation."""
+        maximum, minimum = MAX_SUSPICION_FACTOR * self.shortest(), self.shortest()
+        return max(
+            minimum,
+            maximum - (maximum - minimum) * log(1 + len(member.confirmers)) / log(1 + MAX_CONFIRMATIONS),
+        )
 
     # ---- time ----
 
     def tick(self, now, out):
-        """To be called at `due_at()`, or later: then this one was held up, and trusts its own suspicions less."""
+        """To be called at `due_at()`. A call more than a period late means that this member was stalled: it
+        restarts its suspicions and raises its local health score."""
         if now - self.due_at() > self.period:
-            self.worse()
-            if self.probe:  # the answer may lie unread: it is asked anew, not counted
+            self.degrade_health()
+            if self.probe:  # its answer may be unread yet: the probe does not count as failed
                 self.probe = None
             for number in self.suspects:
-                self.members[number].since = now
+                self.members[number].state_since = now
         if (
             self.probe
             and self.probe[3] is None
-            and now >= self.probe[2] + self.patience() * 0.3 * self.period
+            and now >= self.probe[2] + self.health_multiplier() * 0.3 * self.period
         ):
-            self.ask_others(now, out)
+            self.probe_indirectly(now, out)
         for number in sorted(self.suspects):
-            one = self.members[number]
-            if now >= one.since + self.suspected_for(one):
-                self.set(now, number, GONE, one.incarnation, out)
-        self.for_others = {s: x for s, x in self.for_others.items() if x[2] > now}
-        if now >= self.due:
+            member = self.members[number]
+            if now >= member.state_since + self.suspicion_timeout(member):
+                self.set_state(now, number, GONE, member.incarnation, out)
+        self.relayed_probes = {seq: relay for seq, relay in self.relayed_probes.items() if relay[2] > now}
+        if now >= self.next_probe_at:
             self.end_probe(now, out)
-            self.begin_probe(now, out)
+            self.start_probe(now, out)
 
     def due_at(self):
         """When `tick` is to be called next."""
         if self.probe and self.probe[3] is None:
-            return min(self.due, self.probe[2] + self.patience() * 0.3 * self.period)
-        return self.due
+            return min(self.next_probe_at, self.probe[2] + self.health_multiplier() * 0.3 * self.period)
+        return self.next_probe_at
 
-    def begin_probe(self, now, out):
-        self.turn += 1
-        self.due = now + self.period * (0.9 + 0.2 * self.chance.random())
+    def start_probe(self, now, out):
+        """Probes the next member, or at times one that is gone, and schedules the next probe."""
+        self.probe_count += 1
+        self.next_probe_at = now + self.period * (0.9 + 0.2 * self.random.random())
         gone = (
             [n for n, m in self.members.items() if m.state in (GONE, LEFT) and n != self.me]
-            if (self.turn % GONE_EVERY == 0)
+            if (self.probe_count % GONE_PROBE_INTERVAL == 0)
             else ()
         )
         if gone:
-            # Whether it is back is worth a look; that it is not says nothing new.
-            return self.send(out, gone[int(self.chance.random() * len(gone))], PING, self.number(), None)
-        target = self.next_one()
+            # An answer shows that the member is back; silence is no new information.
+            return self.send(out, gone[int(self.random.random() * len(gone))], PING, self.next_seq(), None)
+        target = self.next_target()
         if target is None:
             return
-        self.probe = [target, self.number(), now, None]
-        self.due = max(self.due, now + self.patience() * self.period * 0.9) if self.health else self.due
-        self.tried += 1
+        self.probe = [target, self.next_seq(), now, None]
+        self.next_probe_at = (
+            max(self.next_probe_at, now + self.health_multiplier() * self.period * 0.9)
+            if self.local_health
+            else self.next_probe_at
+        )
+        self.probes_since_ack += 1
         self.send(out, target, PING, self.probe[1], None)
 
-    def next_one(self):
-        """Each in turn, in an order drawn anew each time round: the longest time until one is looked at is bounded."""
+    def next_target(self):
+        """The next member to probe, or None. The order is shuffled after each round, so the time until a
+        member is probed is bounded."""
         for _ in range(2):
-            while self.order:
-                number = self.order.pop()
+            while self.probe_order:
+                number = self.probe_order.pop()
                 if number != self.me and self.members[number].state in (ALIVE, SUSPECT):
                     return number
-            self.order = sorted(self.members)
-            for at in range(len(self.order) - 1, 0, -1):
-                other = int(self.chance.random() * (at + 1))
-                self.order[at], self.order[other] = self.order[other], self.order[at]
+            self.probe_order = sorted(self.members)
+            for index in range(len(self.probe_order) - 1, 0, -1):
+                other = int(self.random.random() * (index + 1))
+                self.probe_order[index], self.probe_order[other] = (
+                    self.probe_order[other],
+                    self.probe_order[index],
+                )
         return None
 
-    def ask_others(self, now, out):
+    def probe_indirectly(self, now, out):
+        """Asks other members to probe a target that has not answered."""
         target, seq, _, _ = self.probe
-        able = [n for n, m in self.members.items() if m.state == ALIVE and n not in (self.me, target)]
+        candidates = [n for n, m in self.members.items() if m.state == ALIVE and n not in (self.me, target)]
         self.probe[3] = now
-        for _ in range(min(ASKED, len(able))):
-            self.send(out, able.pop(int(self.chance.random() * len(able))), ASK, seq, target)
+        for _ in range(min(INDIRECT_PROBES, len(candidates))):
+            self.send(out, candidates.pop(int(self.random.random() * len(candidates))), PING_REQ, seq, target)
 
     def end_probe(self, now, out):
+        """Ends the period of a probe that was not answered: its target is suspected, or the suspicion
+        confirmed."""
         if not self.probe:
             return
         target, self.probe = self.probe[0], None
-        self.worse()
-        one = self.members[target]
-        if one.state == ALIVE:
-            self.set(now, target, SUSPECT, one.incarnation, out, self.me)
-        elif one.state == SUSPECT:
-            one.sharers.add(self.me)
+        self.degrade_health()
+        member = self.members[target]
+        if member.state == ALIVE:
+            self.set_state(now, target, SUSPECT, member.incarnation, out, self.me)
+        elif member.state == SUSPECT:
+            member.confirmers.add(self.me)
 
-    def worse(self):
-        self.health = min(WORST, self.health + 1)
+    def degrade_health(self):
+        """Raises the local health score: this member may be the one that is slow."""
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
-    # ---- what comes ----
+    # ---- incoming messages ----
 
     def hear(self, now, source, message, out):
-        """A message from a member of the roster, whatever is thought of it."""
-        kind, seq, about, news = message
-        one = self.members.get(source)
-        if one is None or source == self.me:
+        """Handles a message from a member of the roster, in whatever state that member is."""
+        kind, seq, about, updates = message
+        member = self.members.get(source)
+        if member is None or source == self.me:
             return
-        one.heard = now
-        for number, state, incarnation in news:
-            self.learn(now, number, state, incarnation, source, out)
+        member.heard = now
+        for number, state, incarnation in updates:
+            self.apply_update(now, number, state, incarnation, source, out)
         if kind == PING:
             self.send(out, source, ACK, seq, None)
-        elif kind == ASK and about in self.members and len(self.for_others) < 64:
-            own = self.number()
-            self.for_others[own] = source, seq, now + self.period, about
-            self.send(out, about, PING, own, None)
-        elif kind == ACK and about is None and seq in self.for_others:
-            asker, theirs, _, target = self.for_others.pop(seq)
-            self.send(out, asker, ACK, theirs, target)
+        elif kind == PING_REQ and about in self.members and len(self.relayed_probes) < 64:
+            own_seq = self.next_seq()
+            self.relayed_probes[own_seq] = source, seq, now + self.period, about
+            self.send(out, about, PING, own_seq, None)
+        elif kind == ACK and about is None and seq in self.relayed_probes:
+            requester, requester_seq, _, target = self.relayed_probes.pop(seq)
+            self.send(out, requester, ACK, requester_seq, target)
         if kind == ACK and self.probe and seq == self.probe[1] and (about or source) == self.probe[0]:
-            self.health, self.probe, self.acked, self.tried = max(0, self.health - 1), None, now, 0
-
-    def learn(self, now, number, state, incarnation, source, out):
-        one = self.members.get(number)
-        if one is None:
+            self.local_health, self.probe, self.last_ack_at, self.probes_since_ack = (
+                max(0, self.local_health - 1),
+                None,
+                now,
+                0,
+            )
+
+    def apply_update(self, now, number, state, incarnation, source, out):
+        """Takes over an update that outweighs what is known, or refutes one about this member."""
+        member = self.members.get(number)
+        if member is None:
             return
         if number == self.me:
             if (
                 state in (SUSPECT, GONE)
-                and incarnation >= one.incarnation
+                and incarnation >= member.incarnation
                 or state == LEFT
                 and not self.leaving
-                and incarnation >= one.incarnation
+                and incarnation >= member.incarnation
             ):
-                # Not so; and who is taken for gone may be the one that is slow.
-                self.worse()
-                one.incarnation = incarnation + 1
-                self.news[self.me] = 0
+                # Refuted by a higher incarnation. A member that others suspect may well be the slow one.
+                self.degrade_health()
+                member.incarnation = incarnation + 1
+                self.updates[self.me] = 0
             elif state in (SUSPECT, GONE):
-                # It was said already that this is not so, but to nobody who could hear it (a link cut one way): else who is
-                # heard again would be taken for gone for ever.
-                self.news[self.me] = 0
+                # The refutation was sent before, but while a link cut one way let nobody receive it. Without
+                # sending it again this member would stay gone for ever.
+                self.updates[self.me] = 0
             return
-        if (incarnation, state) > (one.incarnation, one.state):
-            self.set(now, number, state, incarnation, out, source)
-        elif state == SUSPECT == one.state and incarnation == one.incarnation and source not in one.sharers:
-            if len(one.sharers) < SHARED:
-                self.news[number] = 0  # a new voice is news of its own
-            one.sharers.add(source)
-
-    def set(self, now, number, state, incarnation, out, by=None):
-        one = self.members[number]
-        before, one.state, one.incarnation, one.since = one.state, state, incarnation, now
-        one.sharers = {by} - {None} if state == SUSPECT else set()
+        if (incarnation, state) > (member.incarnation, member.state):
+            self.set_state(now, number, state, incarnation, out, source)
+        elif (
+            state == SUSPECT == member.state
+            and incarnation == member.incarnation
+            and source not in member.confirmers
+        ):
+            if len(member.confirmers) < MAX_CONFIRMATIONS:
+                self.updates[number] = 0  # each new confirmation is passed on
+            member.confirmers.add(source)
+
+    def set_state(self, now, number, state, incarnation, out, reporter=None):
+        """Changes a member's state, which is then passed on; `reporter` is the member that says so."""
+        member = self.members[number]
+        previous, member.state, member.incarnation, member.state_since = (
+            member.state,
+            state,
+            incarnation,
+            now,
+        )
+        member.confirmers = {reporter} - {None} if state == SUSPECT else set()
         (self.suspects.add if state == SUSPECT else self.suspects.discard)(number)
-        self.news[number] = 0
-        if before != state:
+        self.updates[number] = 0
+        if previous != state:
             out.changed(number, state)
 
-    # ---- what goes ----
+    # ---- outgoing messages ----
 
-    def number(self):
+    def next_seq(self):
         self.seq += 1
         return self.seq
 
     def send(self, out, to, kind, seq, about):
-        picked = sorted(self.news, key=lambda n: (self.news[n], n))[:NEWS]
+        """Sends a message with the updates that were sent least often."""
+        picked = sorted(self.updates, key=lambda n: (self.updates[n], n))[:NEWS]
         other = self.members[to]
         if other.state != ALIVE and to not in picked:
-            # Who is suspected, or speaks though it is gone, must hear of it, or it could not say that it is wrong.
+            # A member that is suspected, or that sends although it is gone, has to learn of it to be
+            # candidates to refute it.
             picked = [to, *picked[: NEWS - 1]]
         for number in picked:
-            if number in self.news:
-                self.news[number] += 1
-                if self.news[number] >= self.passes():
-                    del self.news[number]
+            if number in self.updates:
+                self.updates[number] += 1
+                if self.updates[number] >= self.max_transmissions():
+                    del self.updates[number]
         out.send(
             to, (kind, seq, about, [(n, self.members[n].state, self.members[n].incarnation) for n in picked])
         )
 
     def leave(self, now, out):
-        """An orderly end: told to a few at once, by whom all hear of it; nobody has to suspect."""
+        """Leaves in order: notifies a few members, which pass it on, so that nobody has to suspect this
+        one."""
         self.leaving, me = True, self.members[self.me]
-        self.set(now, self.me, LEFT, me.incarnation, out)
-        able = [n for n, m in self.members.items() if m.state == ALIVE]
-        for _ in range(min(ASKED, len(able))):
-            self.send(out, able.pop(int(self.chance.random() * len(able))), PING, self.number(), None)
+        self.set_state(now, self.me, LEFT, me.incarnation, out)
+        candidates = [n for n, m in self.members.items() if m.state == ALIVE]
+        for _ in range(min(INDIRECT_PROBES, len(candidates))):
+            self.send(
+                out, candidates.pop(int(self.random.random() * len(candidates))), PING, self.next_seq(), None
+            )
 
-    # ---- what it comes to ----
+    # ---- results ----
 
     def alive(self):
+        """Numbers of the members that are alive, this one among them."""
         return [n for n, m in self.members.items() if m.state == ALIVE]
 
     def by_zone(self, now):
-        """{zone: (said to be there, heard by this one lately, all)}, this one not counted."""
-        span, found = self.shortest() + 2 * self.period, {}
+        """{zone: (members alive or suspected, members heard from lately, members)}, without this one."""
+        span, counts = self.shortest() + 2 * self.period, {}
         for number, m in self.members.items():
             if number != self.me:
-                alive, heard, every = found.get(m.zone, (0, 0, 0))
-                found[m.zone] = (
+                alive, recent, total = counts.get(m.zone, (0, 0, 0))
+                counts[m.zone] = (
                     alive + (m.state in (ALIVE, SUSPECT)),
-                    heard + (m.heard is not None and now - m.heard < span),
-                    every + 1,
+                    recent + (m.heard is not None and now - m.heard < span),
+                    total + 1,
                 )
-        return found
+        return counts
 
     def standing(self, now):
-        """Three things that look alike, each with its evidence. `gone`: members taken for gone, others being heard. `zones`: zones
-        other than this one's of which nobody has been heard for as long as a suspicion lasts, with the ms since. `alone`: ms since
-        anybody was heard, `unheard`: ms since anybody answered though others are heard; None where it is not so."""
+        """Tells apart three failures that look alike, each with its evidence, as a dict.
+
+        `gone`: members that are gone while others are heard from. `zones`: {zone: ms} of the other zones that
+        nobody was heard from for as long as a suspicion lasts, with the ms since. `alone`: ms since any
+        member was heard from, and `unheard`: ms since any member answered although others are heard from
+        (this one can receive but not send); None where that is not the case."""
         span = self.shortest() + 2 * self.period
 
         def age(m):
-            return now - (self.began if m.heard is None else m.heard)
+            return now - (self.started_at if m.heard is None else m.heard)
 
         others = [m for n, m in self.members.items() if n != self.me]
-        quiet = min(map(age, others), default=0.0)
-        silent = {}
+        contact_age = min(map(age, others), default=0.0)
+        unreachable_zones = {}
         for zone in sorted({m.zone for m in others} - {self.members[self.me].zone}):
-            least = min(age(m) for m in others if m.zone == zone)
-            if least > span:
-                silent[zone] = least
-        unanswered = now - (self.began if self.acked is None else self.acked)
-        alone = quiet if others and quiet > span else None
+            zone_age = min(age(m) for m in others if m.zone == zone)
+            if zone_age > span:
+                unreachable_zones[zone] = zone_age
+        ack_age = now - (self.started_at if self.last_ack_at is None else self.last_ack_at)
+        alone = contact_age if others and contact_age > span else None
         return dict(
             gone=[n for n, m in self.members.items() if m.state == GONE],
-            zones={} if alone else silent,
+            zones={} if alone else unreachable_zones,
             alone=alone,
-            unheard=unanswered if others and alone is None and unanswered > span and self.tried > 2 else None,
+            unheard=ack_age
+            if others and alone is None and ack_age > span and self.probes_since_ack > 2
+            else None,
         )
