--- a/gannetfront/duties/tokens.py
+++ b/gannetfront/duties/tokens.py
@@ -1,14 +1,19 @@
-"""A token as the epoch of a view, and back: what compares as tokens do. The life is in it: a proxy that began anew may win a round that
-it had won before, where all electors forgot, and its views are others then."""
+"""Conversion between a token and the epoch of a tenant view. Epochs compare as their tokens do.
+
+The life is part of the epoch: where all electors have restarted, a restarted proxy may win a round that it
+had won before, and its views then differ from those it gave out under that round earlier.
+"""
 
 from ..tenants.kept import LIFE
 
-PLACES = 16  # bits of a proxy's number
+PROXY_BITS = 16  # bits of a proxy's number
 
 
 def epoch_of(token):
-    return (token[0] << PLACES | token[1]) << LIFE | token[2]
+    """The epoch, one integer, of a token (round, number, life)."""
+    return (token[0] << PROXY_BITS | token[1]) << LIFE | token[2]
 
 
 def token_of(epoch):
-    return epoch >> PLACES + LIFE, epoch >> LIFE & (1 << PLACES) - 1, epoch & (1 << LIFE) - 1
+    """The token (round, number, life) of an epoch."""
+    return epoch >> PROXY_BITS + LIFE, epoch >> LIFE & (1 << PROXY_BITS) - 1, epoch & (1 << LIFE) - 1
