--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -1,40 +1,48 @@
-"""Whoever is acted upon, without I/O: which acts of a duty it lets happen.
+"""The receiving side of a duty's acts, without I/O: which acts a proxy allows, and the order of work in
+rounds.
 
-A token alone stops a holder that others have followed, but only where the follower was before it. So each act knocks first: the door
-gives it a nonce, good for PATIENCE ms of the door's own clock, and the holder acts only if its lease lasts longer than that. An act
-that was under way longer than it thought (a process that stood still between its look and the act, a stream that was cut and is not any
-more) comes to a door that has closed, wherever the next holder has been by then.
+A fence on tokens alone stops an old holder only at proxies that have already seen its successor. Every act
+therefore starts with a fence check: the proxy issues a nonce, valid for PATIENCE ms of its own clock, and the
+holder acts only if its lease lasts longer than that. An act that was delayed for longer (the process stalled
+between check and act, or the stream was cut and has recovered) arrives with an expired nonce, whichever
+proxies the next holder has contacted by then.
 
-Work in steps: they rise at each place, and each is done once, whoever holds; one that was done already is said to be so.
+Work is done in steps. Their numbers increase at each proxy, and each step is done once, whoever holds the
+duty; a repeated step is answered "again".
 """
 
 from .lease import Fence, surely
 
-PATIENCE = 200.0  # ms
-DOORS = 64  # open at a time; the oldest is closed for one more
+PATIENCE = 200.0  # ms that a nonce is valid
+DOORS = 64  # valid nonces at a time; issuing one more discards the oldest
 
 
 class Gate:
+    """One duty at the proxy that is acted upon: its fence, the nonces issued and the last step done."""
+
     def __init__(self, step=0, token=None):
-        """`step` is the last done, `token` under which, as far as it is known from before a restart."""
-        self.fence, self.step, self.doors, self.nonce, self.busy = Fence(), step, {}, 0, False
+        """`step` is the last step done and `token` the one it was done under, as far as persisted before a
+        restart."""
+        self.fence, self.step, self.doors, self.last_nonce, self.busy = Fence(), step, {}, 0, False
         if token:
             self.fence.accepts(token)
 
     def enter(self, now):
-        """(nonce, highest token, last step done)."""
-        self.nonce += 1
+        """Issues a nonce: (nonce, highest token, last step done)."""
+        self.last_nonce += 1
         self.doors = dict([*self.doors.items()][1 - DOORS :]) if len(self.doors) >= DOORS else self.doors
-        self.doors[self.nonce] = now
-        return self.nonce, self.fence.highest, self.step
+        self.doors[self.last_nonce] = now
+        return self.last_nonce, self.fence.highest, self.step
 
     def heard(self, token):
+        """Raises the fence to a token that another proxy reported."""
         self.fence.accepts(token)
 
     def act(self, now, nonce, token, step):
-        """(how, why): "do" it, then call `done`; "again": it was done; "refused"."""
-        opened = self.doors.pop(nonce, None)
-        if opened is None or now - opened > PATIENCE:
+        """(outcome, reason). "do": perform the step, then call `done`; "again": it was done before;
+        "refused"."""
+        issued_at = self.doors.pop(nonce, None)
+        if issued_at is None or now - issued_at > PATIENCE:
             return "refused", "late"
         if not self.fence.accepts(token):
             return "refused", "token"
@@ -43,50 +51,60 @@
         if self.busy:
             return "refused", "busy"
         if step < self.step:
-            return "refused", "order"  # a place that was away for some rounds does the newest only
+            return "refused", "order"  # a proxy that missed some rounds does only the newest step
         self.busy = True
         return "do", ""
 
-    def done(self, step, fine=True):
+    def done(self, step, succeeded=True):
+        """Ends the step that `act` allowed; one that did not succeed may be tried again."""
         self.busy = False
-        if fine:
+        if succeeded:
             self.step = step
 
 
-def time_to_act(left, rate):
-    """True where a lease that lasts `left` ms outlasts any door, whatever clocks do within `rate`."""
-    return left > surely(PATIENCE, rate)
+def time_to_act(remaining, rate):
+    """True where a lease with `remaining` ms left outlasts any nonce, for all clocks within `rate`."""
+    return remaining > surely(PATIENCE, rate)
 
 
 class Rounds:
-    """The holder's part of work in rounds: each of `places` is to be at the same step before any is at the next.
-
-    What each place has done is what it says itself, so that a follower needs no word of who held before."""
-
-    def __init__(self, places, every, floor=0):
-        """`floor` is a step that is known to have been begun: a place that has done it may be out of reach."""
-        self.places, self.every, self.known, self.ended, self.floor = list(places), every, {}, None, floor
-
-    def told(self, place, step):
-        self.known[place] = step
+    """The holder's side of work in rounds: every one of `proxies` completes a step before any begins the
+    next.
+
+    Each proxy reports its own last step, so a new holder needs no information from its predecessor."""
+
+    def __init__(self, proxies, interval, floor=0):
+        """`interval` is the ms between rounds. `floor` is a step known to have begun, as the proxy that did
+        it may be unreachable."""
+        self.proxies, self.interval, self.completed, self.round_ended_at, self.floor = (
+            list(proxies),
+            interval,
+            {},
+            None,
+            floor,
+        )
+
+    def told(self, proxy, step):
+        """Records the last step that a proxy reports."""
+        self.completed[proxy] = step
 
     def step(self):
-        """The step of the round that is under way: the highest that any place has done, until all have it."""
-        return max([self.floor, *self.known.values()])
-
-    def next(self, now, asked):
-        """(place, step) to be done now, or None. `asked` are the places that cannot be reached: passed over, not waited for."""
-        step, able = self.step(), [p for p in self.places if p not in asked]
-        if any(p not in self.known for p in able):
-            return None  # who holds anew first hears how far each is
-        behind = [p for p in able if self.known[p] < step]
+        """The step of the current round: the highest that any proxy has done."""
+        return max([self.floor, *self.completed.values()])
+
+    def next(self, now, unreachable):
+        """(proxy, step) to be done now, or None. `unreachable` proxies are skipped, not waited for."""
+        step, reachable = self.step(), [p for p in self.proxies if p not in unreachable]
+        if any(p not in self.completed for p in reachable):
+            return None  # a new holder first asks every proxy for its last step
+        behind = [p for p in reachable if self.completed[p] < step]
         if behind:
-            self.ended = None
+            self.round_ended_at = None
             return behind[0], step
-        if not able:
+        if not reachable:
             return None
-        self.ended = now if self.ended is None else self.ended
-        if now - self.ended < self.every and step:
+        self.round_ended_at = now if self.round_ended_at is None else self.round_ended_at
+        if now - self.round_ended_at < self.interval and step:
             return None
-        self.ended = None
-        return able[0], step + 1
+        self.round_ended_at = None
+        return reachable[0], step + 1
--- a/gannetfront/duties/seal.py
+++ b/gannetfront/duties/seal.py
@@ -1,7 +1,9 @@
-"""The duty `seal`: the trails of all proxies are sealed one after the other, so that never two disks are busy with it at once.
+"""The duty `seal`: the trails of all proxies are sealed one after the other, so that two disks are never busy
+with it at once.
 
-A round is a step. Each proxy writes down, beside its trail, the last step that it has done and under which token: a proxy that starts
-anew refuses what it refused before. A holder keeps nothing: how far each proxy is, it hears from them.
+A round of sealing is one step. Each proxy persists, next to its trail, the last step that it has done and the
+token it was done under, so that after a restart it refuses what it refused before. The holder persists
+nothing: each proxy reports its own last step.
 """
 
 from .. import host
@@ -10,80 +12,90 @@
 from .acts import Rounds
 from .shell import Duty
 
-LOOK, DONE = (
+POLL_INTERVAL, SEAL_TIMEOUT = (
     200.0,
     600000.0,
-)  # ms: between looks; for one proxy's sealing, as long as it says that it is there
+)  # ms: between polls; for one proxy to seal its trail, while it reports that it is alive
 
 
 class Sealing(Duty):
+    """The duty `seal` at one proxy, as its holder and as a proxy whose trail is sealed."""
+
     name = "seal"
 
-    def __init__(self, d, trail, log):
-        """`trail` is this proxy's, or None: there is nothing to seal, and a step is done with that."""
-        self.every, self.trail, self.log, self.least, self.most_kept = (
-            d.every,
+    def __init__(self, settings, trail, log):
+        """`settings` is the checked Duty. `trail` is this proxy's own, or None where it keeps none: then a
+        step does nothing."""
+        self.interval, self.trail, self.log, self.minimum_size, self.max_segments = (
+            settings.every,
             trail,
             log,
-            d.seal_from,
-            d.seal_keep or None,
+            settings.seal_from,
+            settings.seal_keep or None,
         )
-        self.file, self.rounds = trail and f"{trail.folder}/sealed.step", None
+        self.step_file, self.rounds = trail and f"{trail.folder}/sealed.step", None
 
     def before(self):
-        return self.kept(self.file) if self.file else (0, None)
+        return self.kept(self.step_file) if self.step_file else (0, None)
 
     def state(self):
-        """For a successor: the step that is under way."""
+        """For a successor: the current step, as decimal digits."""
         return b"%d" % self.rounds.step() if self.rounds else b""
 
-    # ---- held ----
+    # ---- while the duty is held ----
 
     def work(self, held):
-        floor = int(held.given) if held.given.isdigit() else 0
-        rounds, away = Rounds(sorted(held.shell.streams), self.every, floor), {}
+        """Seals the trail of one proxy after the other until the lease ends; raises Lost."""
+        started_step = int(held.given) if held.given.isdigit() else 0
+        rounds, failed_at = Rounds(sorted(held.shell.streams), self.interval, started_step), {}
         self.rounds = rounds
         while held.left() > 0:
             now, alive = host.now(), held.others()
-            away = {place: at for place, at in away.items() if now - at < 5 * LOOK}
-            asked = away.keys() | (set(rounds.places) - alive)
-            for place in [p for p in rounds.places if p not in rounds.known and p not in asked]:
-                self.visit(held, rounds, away, place, None)
-            due = rounds.next(host.now(), asked | away.keys())
+            failed_at = {proxy: at for proxy, at in failed_at.items() if now - at < 5 * POLL_INTERVAL}
+            unreachable = failed_at.keys() | (set(rounds.proxies) - alive)
+            for proxy in [p for p in rounds.proxies if p not in rounds.completed and p not in unreachable]:
+                self.visit(held, rounds, failed_at, proxy, None)
+            due = rounds.next(host.now(), unreachable | failed_at.keys())
             if due:
-                self.visit(held, rounds, away, *due)
+                self.visit(held, rounds, failed_at, *due)
             else:
-                host.sleep(min(LOOK, self.every / 2))
+                host.sleep(min(POLL_INTERVAL, self.interval / 2))
 
-    def visit(self, held, rounds, away, place, step):
+    def visit(self, held, rounds, failed_at, proxy, step):
+        """Asks a proxy for its last step and has it do `step`, unless that is None. A failure is noted in
+        `failed_at`."""
         try:
-            visit = held.ask(place)
+            visit = held.ask(proxy)
             try:
-                rounds.told(place, visit.step)
+                rounds.told(proxy, visit.step)
                 if step is not None:
-                    how, why = visit.act(step, DONE)
-                    rounds.told(place, visit.step)
+                    how, why = visit.act(step, SEAL_TIMEOUT)
+                    rounds.told(proxy, visit.step)
                     if how == "refused":
-                        away[place] = host.now()
+                        failed_at[proxy] = host.now()
             finally:
                 visit.close()
-        except (OSError, host.Refused, host.Timeout, frames.BadFrame) as trouble:
-            away[place] = host.now()
-            rounds.known.pop(place, None)
+        except (OSError, host.Refused, host.Timeout, frames.BadFrame) as error:
+            failed_at[proxy] = host.now()
+            rounds.completed.pop(proxy, None)
             self.log.info(
-                "not reached", duty=self.name, place=place, why=str(trouble)[:100] or type(trouble).__name__
+                "could not contact proxy",
+                duty=self.name,
+                place=proxy,
+                why=str(error)[:100] or type(error).__name__,
             )
 
-    # ---- acted upon ----
+    # ---- at the proxy acted upon ----
 
     def act(self, step, token):
         if self.trail:
             made, _ = host.Apart(self.seal).wait()
-            self.keep(self.file, step, token)
+            self.keep(self.step_file, step, token)
             self.log.info("sealed", step=step, segments=made)
         return True
 
     def seal(self):
-        if self.trail.file.size > self.least:
-            self.trail.closes = True  # the segment that grows ends with its next write
-        return sealed.seal(self.trail.folder, self.most_kept)
+        """Seals this proxy's own trail: (segments sealed, old segments removed)."""
+        if self.trail.file.size > self.minimum_size:
+            self.trail.closes = True  # the open segment ends with its next write
+        return sealed.seal(self.trail.folder, self.max_segments)
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -122,7 +122,7 @@
         30.0, knock(30.0), new, 0
     ) == ("refused", "order")
     assert gate.act(30.0, knock(30.0), new, 2) == ("do", "")
-    gate.done(2, fine=False)
+    gate.done(2, succeeded=False)
     assert gate.enter(40.0)[1:] == (new, 1)
     for _ in range(3 * DOORS):
         knock(50.0)
