--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -1,4 +1,5 @@
-"""The parts of duties alone: words on the wire, settings, whoever is acted upon, the order of who tries, the judge."""
+"""Unit tests of the duties' parts: lease messages, settings, the gate, rounds, the candidates' order, the
+judge of acts."""
 
 from types import SimpleNamespace
 
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "electors, says",
+    "electors, expected",
     [
         ((0,), ["while its one elector is away"]),
         ((0, 1), ["while any of its electors is away", "zone a", "zone b"]),
@@ -91,60 +92,61 @@
         ((0, 1, 2, 3), ["no more of them away than 3 do", "zone a", "zone b"]),
     ],
 )
-def test_check_says_what_is_not_survived(electors, says):
+def test_check_names_the_failures_that_a_duty_does_not_survive(electors, expected):
     mine = load.parse(
         schema.Proxy,
         f'me: 0 control: "x:1"\n{MATES}duty {{ name: "seal" {" ".join(f"elector: {e}" for e in electors)} }}',
         "p",
     )
-    told = list(load.advice_on_duties(mine))
-    assert len(told) == len(says) and all(s in t for s, t in zip(says, told)), told
+    advice = list(load.advice_on_duties(mine))
+    assert len(advice) == len(expected) and all(part in line for part, line in zip(expected, advice)), advice
 
 
-def test_a_door_closes_and_a_step_is_done_once():
+def test_a_nonce_expires_and_a_step_is_done_once():
     gate, old, new = Gate(), (3, 1, 5), (4, 2, 6)
 
-    def knock(now):
+    def nonce_at(now):
         return gate.enter(now)[0]
 
-    assert gate.act(10.0, knock(0.0), old, 1) == ("do", "") and gate.act(10.0, knock(0.0), old, 2) == (
+    assert gate.act(10.0, nonce_at(0.0), old, 1) == ("do", "") and gate.act(10.0, nonce_at(0.0), old, 2) == (
         "refused",
         "busy",
     )
     gate.done(1)
-    assert gate.act(10.0, knock(0.0), old, 1)[0] == "again"
-    nonce = knock(20.0)
+    assert gate.act(10.0, nonce_at(0.0), old, 1)[0] == "again"
+    nonce = nonce_at(20.0)
     assert gate.act(20.0 + PATIENCE + 1, nonce, old, 2) == ("refused", "late") and gate.act(
         20.0, nonce, old, 2
     ) == ("refused", "late")
     gate.heard(new)
-    assert gate.act(30.0, knock(30.0), old, 2) == ("refused", "token") and gate.act(
-        30.0, knock(30.0), new, 0
+    assert gate.act(30.0, nonce_at(30.0), old, 2) == ("refused", "token") and gate.act(
+        30.0, nonce_at(30.0), new, 0
     ) == ("refused", "order")
-    assert gate.act(30.0, knock(30.0), new, 2) == ("do", "")
+    assert gate.act(30.0, nonce_at(30.0), new, 2) == ("do", "")
     gate.done(2, succeeded=False)
     assert gate.enter(40.0)[1:] == (new, 1)
     for _ in range(3 * DOORS):
-        knock(50.0)
+        nonce_at(50.0)
     assert len(gate.doors) <= DOORS
 
 
-def test_a_round_ends_everywhere_before_the_next_and_the_unheard_are_passed_over():
+def test_a_round_ends_everywhere_before_the_next_and_unreachable_proxies_are_skipped():
     rounds = Rounds([0, 1, 2], 100.0)
     assert rounds.next(0.0, ()) is None
-    for place, step in ((0, 7), (1, 6), (2, 7)):
-        rounds.told(place, step)
+    for proxy, step in ((0, 7), (1, 6), (2, 7)):
+        rounds.told(proxy, step)
     assert rounds.next(0.0, ()) == (1, 7) and rounds.next(0.0, {1}) is None
     rounds.told(1, 7)
     assert rounds.next(50.0, ()) is None and rounds.next(150.0, ()) == (0, 8)
     rounds.told(0, 8)
     assert rounds.next(151.0, {1}) == (2, 8)
-    told = Rounds([0, 1], 100.0, floor=9)  # by who held it before: the place that was first is out of reach
-    told.told(0, 8)
-    assert told.next(0.0, {1}) == (0, 9)
+    # The last holder reported step 9, and the proxy that did it is unreachable.
+    successor = Rounds([0, 1], 100.0, floor=9)
+    successor.told(0, 8)
+    assert successor.next(0.0, {1}) == (0, 9)
 
 
-def test_who_tries_first_is_of_a_preferred_zone_idle_and_the_others_wait():
+def test_the_first_candidate_is_in_a_preferred_zone_and_idle_and_the_others_wait():
     mates = {n: "ab"[n % 2] for n in range(40)}
     posts = {
         n: Post("d", n, 1, mates, (0, 1, 2), 1000.0, 0.01, Jitter(n), 0.0, zones=("b",), settle=500.0)
@@ -165,7 +167,8 @@
 
 @given(TOKENS, TOKENS, st.integers(0, 2**16 - 1))
 def test_an_epoch_compares_as_its_token(one, other, number):
-    """Its life too: where all electors forgot, a proxy wins a round again that it had won, and gives out other views of the same number."""
+    """An epoch includes the life: where all electors have restarted, a proxy may win a round again that it
+    had won before, and then gives out other views of the same number."""
     for a, b in ((one, other), ((5, number, 1), (5, number, 2))):
         assert token_of(epoch_of(a)) == a and (epoch_of(a) < epoch_of(b)) == (a < b)
     held = kept.Held()
@@ -204,7 +207,7 @@
 
 
 @pytest.mark.parametrize("rule", JUDGED)
-def test_the_judge_finds_each_breach(rule):
+def test_the_judge_finds_each_violation(rule):
     verdict = judge(
         JUDGED[rule],
         faults=[(500.0, 1000.0)] if rule == "held" else (),
@@ -212,13 +215,14 @@
         end=9000.0,
         duties=["seal"],
     )
-    broken = {name for name, (_, stories) in verdict.items() if stories}
-    assert broken - ({"holders"} if rule == "tokens" else set()) == ({rule} if rule else set())
+    violated = {name for name, (_, violations) in verdict.items() if violations}
+    assert violated - ({"holders"} if rule == "tokens" else set()) == ({rule} if rule else set())
 
 
 @pytest.mark.parametrize("many", [3, 30, 300])
-def test_those_that_stand_by_take_it_as_soon_as_it_is_free_and_disturb_nobody(many):
-    """However long it was held: their rounds are far behind those of the holder's renewals."""
+def test_standby_candidates_take_a_free_lease_at_once_and_disturb_no_holder(many):
+    """However long the lease was held: by then the rounds of standby candidates are far behind those of the
+    holder's renewals."""
     town = Council({n: "abc"[n % 3] for n in range(many)}, (0, 1, 2), span=3000.0)
     town.run(20000.0)
     for _ in range(3):
@@ -235,19 +239,20 @@
         town.run(10000.0)
 
 
-def test_thirty_candidates_that_wake_together():
+def test_thirty_candidates_that_start_together():
     town = Council({n: "abc"[n % 3] for n in range(30)}, (0, 1, 2), span=1000.0)
     town.run(4000.0)
     assert len(town.holders()) == 1
 
 
-def test_a_holder_whose_renewal_came_late_goes_on_with_its_work():
-    """A lease too short for an act for a moment is no lost one."""
+def test_a_holder_whose_renewal_came_late_continues_its_work():
+    """A late renewal leaves a lease too short for an act for a moment. The work then raises Lost although the
+    lease is still held; it must start again, or the duty stays held with nobody working."""
     left = [500.0, 500.0, 0.0]
-    held, looked = SimpleNamespace(left=lambda: left[0]), []
+    held, checked = SimpleNamespace(left=lambda: left[0]), []
 
     def work(held):
-        looked.append(left.pop(0))
+        checked.append(left.pop(0))
         raise Lost()
 
     shell = SimpleNamespace(
@@ -256,15 +261,16 @@
         doors={"d": {"a visit": host.now() + 50.0, "another": host.now()}},
     )
     shell.wait_for_doors = lambda name: Duties.wait_for_doors(shell, name)
-    begun = host.now()
+    started_at = host.now()
     Duties.work(shell, "d", held)
-    assert looked == [500.0, 500.0]
-    # Nothing is begun while an act of earlier work here may still be let happen.
-    assert host.now() - begun >= 50.0 and not shell.doors
+    assert checked == [500.0, 500.0]
+    # Work does not start while a proxy may still allow an act of this proxy's earlier work.
+    assert host.now() - started_at >= 50.0 and not shell.doors
 
 
 def test_settings_two_steps_behind_never_pass_a_fence():
-    """Its electors tell it rounds of a later generation; it does not go above them."""
+    """A candidate with outdated settings learns of rounds of a later generation from its electors and must
+    not go above them."""
     sent, now = [], 0.0
     out = SimpleNamespace(
         send=lambda elector, message: sent.append(message), gained=lambda token: 1 / 0, lost=lambda why: None
@@ -283,7 +289,9 @@
     assert old.outdated and now > 20 * old.span
 
 
-def test_a_duty_regained_before_anybody_saw_it_lost_is_worked_at_once_only():
+def test_a_duty_regained_before_its_loss_was_noticed_is_worked_once_only():
+    """A late renewal can arrive after the lease has expired but before the expiry was noticed: the old work
+    must be stopped."""
     working = []
 
     def work(held):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there: the core under faults, in virtual time; its datagrams."""
+"""Membership: the protocol under faults, in virtual time, and its datagrams."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 from gannetfront.wire import members as wire
 from rig import Log
 
-P = 1000.0
+PERIOD = 1000.0  # ms
 
 
 def roster(many, zones=("x",)):
@@ -31,83 +31,85 @@
 
 
 @pytest.mark.parametrize("many", [2, 3, 30, 200])
-def test_one_that_dies_is_known_to_all_and_nobody_else_is_missed(many):
+def test_a_dead_member_is_known_to_all_and_no_other_is_declared_gone(many):
     town = Town(roster(many))
-    town.run(10 * P)
+    town.run(10 * PERIOD)
     town.kill(1)
     core = town.cores[0]
-    town.run(many * P * 2.2 + 2 * 6 * core.shortest() if many < 30 else 60 * P)
+    town.run(many * PERIOD * 2.2 + 2 * 6 * core.shortest() if many < 30 else 60 * PERIOD)
     assert town.agree(gone=[1]) and town.views(1) == {GONE: many - 1}
     assert {n for _, _, n, state in town.seen if state == GONE} == {1}
 
 
 @pytest.mark.parametrize("many", [3, 30, 200])
-def test_what_one_sends_does_not_grow_with_the_fleet(many):
+def test_the_traffic_of_a_member_does_not_grow_with_the_fleet(many):
     town = Town(roster(many))
     town.measure = lambda me, message: len(wire.pack(1, me, message))
     town.kill(0)
-    town.run(40 * P)
-    most = max(town.sent.values()) / 40
-    assert most < 4.0 and town.bytes <= wire.MOST
+    town.run(40 * PERIOD)
+    per_period = max(town.sent.values()) / 40
+    assert per_period < 4.0 and town.bytes <= wire.MOST
 
 
-def test_one_that_comes_back_with_nothing_kept_is_alive_again():
+def test_a_member_that_restarts_without_stored_state_is_alive_again():
     town = Town(roster(9))
     town.kill(4)
-    town.run(60 * P)
+    town.run(60 * PERIOD)
     assert town.agree(gone=[4])
     town.start(4)
-    town.run(30 * P)
-    assert town.agree() and town.cores[4].members[4].incarnation > 0, "it had to say that it is wrong"
+    town.run(30 * PERIOD)
+    assert town.agree() and town.cores[4].members[4].incarnation > 0, "it had to refute that it is gone"
 
 
-def test_an_orderly_leave_is_known_at_once_and_taken_for_a_death_by_nobody():
+def test_an_orderly_leave_is_known_at_once_and_never_taken_for_a_failure():
     town = Town(roster(30))
-    town.run(3 * P)
+    town.run(3 * PERIOD)
     town.cores[7].leave(town.now, Out(town, 7))
     town.kill(7)
-    town.run(8 * P)
+    town.run(8 * PERIOD)
     assert town.views(7) == {LEFT: 29} and not any(state == GONE for *_, state in town.seen)
 
 
-def test_two_sides_of_a_cut_find_each_other_again():
+def test_two_sides_of_a_healed_partition_find_each_other_again():
     one, other = range(0, 6), range(6, 12)
-    town = Town(roster(12), faults=[cut(5 * P, 120 * P, one, other)])
-    town.run(110 * P)
+    town = Town(roster(12), faults=[cut(5 * PERIOD, 120 * PERIOD, one, other)])
+    town.run(110 * PERIOD)
     assert all(set(town.cores[n].alive()) == set(one if n in one else other) for n in range(12))
-    town.run(60 * P)
+    town.run(60 * PERIOD)
     assert town.agree()
 
 
 @pytest.mark.parametrize("ways", ["there", "back"])
-def test_one_that_was_cut_one_way_is_alive_again(ways):
-    """Its word that it is not gone was said while nobody could hear it."""
-    town = Town(roster(5), faults=[cut(5 * P, 90 * P, [3], [n for n in range(5) if n != 3], ways)])
-    town.run(80 * P)
+def test_a_member_that_was_cut_one_way_is_alive_again(ways):
+    """Its refutation was sent while nobody could receive it, so it has to be sent again."""
+    town = Town(roster(5), faults=[cut(5 * PERIOD, 90 * PERIOD, [3], [n for n in range(5) if n != 3], ways)])
+    town.run(80 * PERIOD)
     assert town.cores[4].members[3].state == GONE or ways == "back"
-    town.run(100 * P)
+    town.run(100 * PERIOD)
     assert town.agree()
 
 
-def test_two_that_cannot_see_each_other_are_kept_by_those_between():
+def test_indirect_probes_keep_two_members_alive_that_cannot_reach_each_other():
     town = Town(roster(7), faults=[cut(0.0, 9e9, [1], [2])])
-    town.run(200 * P)
+    town.run(200 * PERIOD)
     assert town.agree() and not any(state == GONE for *_, state in town.seen)
 
 
-def test_one_that_was_held_up_takes_nobody_for_gone():
+def test_a_stalled_member_declares_nobody_gone():
     town = Town(roster(30))
-    town.run(10 * P)
-    while not town.cores[3].probe:  # held up with a question out, whose answer lies unread
+    town.run(10 * PERIOD)
+    while not town.cores[3].probe:  # stalled while a probe is open, whose answer stays unread
         town.run(0.5)
-    end = town.now + 3 * P
-    town.hold(3, 3 * P)
-    town.run(40 * P)
+    end = town.now + 3 * PERIOD
+    town.hold(3, 3 * PERIOD)
+    town.run(40 * PERIOD)
     assert not any(state == GONE for *_, state in town.seen) and town.agree()
-    assert not any(me == 3 and state == SUSPECT for at, me, n, state in town.seen if end <= at <= end + P)
+    assert not any(
+        me == 3 and state == SUSPECT for at, me, n, state in town.seen if end <= at <= end + PERIOD
+    )
 
 
-def test_lost_doubled_and_late_datagrams_lead_to_no_death():
+def test_lost_duplicate_and_late_datagrams_make_nobody_gone():
     town = Town(
         roster(20),
         faults=[
@@ -121,37 +123,39 @@
             )
         ],
     )
-    town.run(150 * P)
+    town.run(150 * PERIOD)
     assert not any(state == GONE for *_, state in town.seen)
 
 
-def test_three_things_that_look_alike_are_told_apart():
+def test_three_failures_that_look_alike_are_told_apart():
     zones = roster(9, ("n", "s", "w"))
     north, rest = [0, 3, 6], [1, 2, 4, 5, 7, 8]
-    town = Town(zones, faults=[cut(5 * P, 9e9, north, rest)])
-    town.run(60 * P)
-    told = town.cores[1].standing(town.now)
+    town = Town(zones, faults=[cut(5 * PERIOD, 9e9, north, rest)])
+    town.run(60 * PERIOD)
+    standing = town.cores[1].standing(town.now)
     assert (
-        set(told["zones"]) == {"n"}
-        and set(told["gone"]) == set(north)
-        and told["alone"] is None is told["unheard"]
+        set(standing["zones"]) == {"n"}
+        and set(standing["gone"]) == set(north)
+        and standing["alone"] is None is standing["unheard"]
+    )
+    standing = town.cores[0].standing(town.now)
+    assert set(standing["zones"]) == {"s", "w"} and standing["alone"] is None
+    town = Town(zones, faults=[cut(5 * PERIOD, 9e9, [4], [n for n in zones if n != 4])])
+    town.run(60 * PERIOD)
+    standing = town.cores[4].standing(town.now)
+    assert standing["alone"] > 40 * PERIOD and not standing["zones"], (
+        "a member that hears nobody knows nothing about zones"
     )
-    told = town.cores[0].standing(town.now)
-    assert set(told["zones"]) == {"s", "w"} and told["alone"] is None
-    town = Town(zones, faults=[cut(5 * P, 9e9, [4], [n for n in zones if n != 4])])
-    town.run(60 * P)
-    told = town.cores[4].standing(town.now)
-    assert told["alone"] > 40 * P and not told["zones"], "who hears nobody knows nothing of zones"
     assert town.cores[1].standing(town.now)["gone"] == [4]
-    town = Town(zones, faults=[cut(5 * P, 9e9, [4], [n for n in zones if n != 4], "there")])
-    town.run(60 * P)
-    told = town.cores[4].standing(town.now)
-    assert told["unheard"] > 40 * P and told["alone"] is None and not told["zones"]
+    town = Town(zones, faults=[cut(5 * PERIOD, 9e9, [4], [n for n in zones if n != 4], "there")])
+    town.run(60 * PERIOD)
+    standing = town.cores[4].standing(town.now)
+    assert standing["unheard"] > 40 * PERIOD and standing["alone"] is None and not standing["zones"]
     town = Town(zones)
     town.kill(7)
-    town.run(60 * P)
-    told = town.cores[1].standing(town.now)
-    assert told == dict(gone=[7], zones={}, alone=None, unheard=None)
+    town.run(60 * PERIOD)
+    standing = town.cores[1].standing(town.now)
+    assert standing == dict(gone=[7], zones={}, alone=None, unheard=None)
 
 
 # ---- datagrams ----
@@ -181,7 +185,7 @@
         assert str(bad) in ("long", "garbage", "version", "fleet", "stranger")
 
 
-def test_other_fleets_versions_and_strangers_are_named(monkeypatch):
+def test_datagrams_of_other_fleets_versions_and_strangers_are_named(monkeypatch):
     data = wire.pack(7, 3, (0, 1, None, [(500, ALIVE, 0), (4, SUSPECT, 2)]))
     assert wire.unpack(7, data, range(100))[1][3] == [(4, SUSPECT, 2)]
     for fleet, members, why in ((8, range(100), "fleet"), (7, range(2), "stranger")):
@@ -195,7 +199,7 @@
 # ---- on sockets ----
 
 
-def test_a_proxy_drops_and_counts_what_is_not_its_mates(tmp_path):
+def test_a_proxy_drops_and_counts_datagrams_that_are_not_of_its_roster(tmp_path):
     other, foreign = host.Datagrams("127.0.0.1:0"), host.Datagrams("127.0.0.1:0")
     free = host.Datagrams("127.0.0.1:0")
     mine = free.where
@@ -204,8 +208,8 @@
         f'me: 0 control: "127.0.0.1:1" state_file: "{tmp_path}/k" member_period: 20 '
         f'mate {{ number: 0 zone: "a" address: "{mine}" }} mate {{ number: 1 zone: "b" address: "{other.where}" }}'
     )
-    one = Membership(load.parse(schema.Proxy, text, "p"), ["a", "b"], Log(), Jitter(1))
-    made = [host.spawn(one.run), host.spawn(one.hear)]
+    membership = Membership(load.parse(schema.Proxy, text, "p"), ["a", "b"], Log(), Jitter(1))
+    greenlets = [host.spawn(membership.run), host.spawn(membership.hear)]
     fleet, ping = wire.fleet_of("fleet"), (0, 1, None, [])
     sent = [
         (other, b"nonsense"),
@@ -218,11 +222,11 @@
     for port, data in sent:
         port.send(mine, data)
     end = host.now() + 5000
-    while sum(one.dropped.values()) < len(sent) and host.now() < end:
+    while sum(membership.dropped.values()) < len(sent) and host.now() < end:
         host.sleep(5)
     assert (
-        one.dropped == {"garbage": 2, "fleet": 1, "address": 1, "stranger": 1, "long": 1}
-        and one.core.members[1].heard is None
+        membership.dropped == {"garbage": 2, "fleet": 1, "address": 1, "stranger": 1, "long": 1}
+        and membership.core.members[1].heard is None
     )
     other.send(mine, wire.pack(fleet, 1, (0, 77, None, [])))
     kinds = []
@@ -230,9 +234,9 @@
         data, sender = other.recv(300)
         kinds.append(wire.unpack(fleet, data, [0, 1])[1][0])
         assert sender == mine
-    assert one.core.members[1].heard is not None
-    one.stop()
-    for greenlet in made:
+    assert membership.core.members[1].heard is not None
+    membership.stop()
+    for greenlet in greenlets:
         host.stop(greenlet)
     for text, wrong in (
         (text.replace("number: 1", "number: 0"), "two of one number"),
@@ -243,10 +247,10 @@
             Membership(load.parse(schema.Proxy, text, "p"), ["a", "b"], Log(), Jitter(1))
 
 
-def test_the_proxy_on_the_platform_loads_none_of_it():
+def test_the_platform_edge_loads_no_membership_code():
     code = (
         "import sys; import gannetfront.edge.edge; print([m for m in sys.modules if m.startswith('gannetfront.') and any("
         "part in m for part in ('members', 'faults', 'duties', 'keptfile', 'day', 'lab'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
