--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -1,9 +1,11 @@
-"""The duty `site-return`: who holds it tells all proxies how far a site that is back is let in.
-
-A step is an order about all sites at once, each in three bits, below a number that rises: a proxy that missed some has all of it with
-the next. The leader says how far it has gone itself, quicker than a proxy alone may (sites/ramp.py), and nothing of a site that it does
-not see or does not know yet. Whoever follows goes there by stages of its own. Orders of operators (hold, return) are told with each
-step, and taken up by the next leader from its own place. Nobody leads: each proxy goes up its own slower ramp.
+"""The duty `site-return`: its holder tells all proxies how much traffic a recovered site may receive.
+
+A step is an order about all sites at once, three bits for each, below a number that increases: a proxy that
+missed some steps is up to date with the next one. The holder reports its own stage, which advances faster
+than a proxy's own ramp may (sites/ramp.py), and nothing about a site that it does not see or has not yet
+assessed. The other proxies follow by stages of their own. Orders of operators (hold, return) are part of each
+step, and the next holder continues with them from its own copy. Without a holder each proxy follows its own,
+slower ramp.
 """
 
 from .. import host
@@ -11,37 +13,40 @@
 from ..wire import frames
 from .shell import Duty, Lost
 
-BITS, SITES = 3, 8  # of a site in a step; sites that a step has room for
-DONE, TOLD = (
+BITS, SITES = 3, 8  # bits of a site's order in a step; sites that fit into a step
+ACT_TIMEOUT, ORDER_TIMEOUT = (
     1000.0,
     8000.0,
-)  # ms for a proxy's word that it has heard; for an operator's order to have been told to all
-ORDERS = dict(hold=ReturnOrder.HELD_OUT, go=ReturnOrder.LET_IN, free=ReturnOrder.NO_ORDER)
+)  # ms: for a proxy to acknowledge a step; for an operator's order to be delivered to all proxies
+ORDER_BY_VERB = dict(hold=ReturnOrder.HELD_OUT, go=ReturnOrder.LET_IN, free=ReturnOrder.NO_ORDER)
 
 
 def packed(number, orders):
-    """The step of that number; `orders` in the order of the settings' sites."""
+    """The step with that number; `orders` are in the order of the settings' sites."""
     code = 0
-    for place, order in enumerate(orders):
-        code |= order << BITS * place
+    for index, order in enumerate(orders):
+        code |= order << BITS * index
     return number << BITS * SITES | code
 
 
-def unpacked(step, many):
-    """(number, orders of `many` sites)."""
-    return step >> BITS * SITES, [step >> BITS * place & (1 << BITS) - 1 for place in range(many)]
+def unpacked(step, site_count):
+    """(number, orders of `site_count` sites)."""
+    return step >> BITS * SITES, [step >> BITS * index & (1 << BITS) - 1 for index in range(site_count)]
 
 
 class Returning(Duty):
-    name, ORDERS = "site-return", tuple(ORDERS)
+    """The duty `site-return` at one proxy, as its holder and as a proxy that follows the holder's orders."""
+
+    name, ORDERS = "site-return", tuple(ORDER_BY_VERB)
 
-    def __init__(self, d, sites, file, log):
-        """`sites` is this proxy's AtProxy, whose plan is acted upon; `file` keeps the last token over a restart."""
-        self.every, self.sites, self.log, self.file, self.token = d.every, sites, log, file, None
-        self.names, self.wishes = (
+    def __init__(self, settings, sites, file, log):
+        """`settings` is the checked Duty, `sites` this proxy's AtProxy, whose plan is acted upon. `file`
+        persists the last token."""
+        self.interval, self.sites, self.log, self.file, self.token = settings.every, sites, log, file, None
+        self.site_names, self.pending_orders = (
             list(sites.shedding.ramps),
             [],
-        )  # [(site, order, told whether it reached all that are there)]
+        )  # pending: [(site, order, Once that is set when the order has been delivered)]
 
     def before(self):
         step, self.token = self.kept(self.file)
@@ -57,86 +62,92 @@
                     weight=shedding.weights[name],
                     held_down=shedding.ramps[name].order == ReturnOrder.HELD_OUT,
                 )
-                for name in self.names
+                for name in self.site_names
             },
             refused=self.sites.shares(),
         )
 
-    # ---- held ----
+    # ---- while the duty is held ----
 
     def work(self, held):
-        number, told = None, {}
+        """Sends every proxy a new step each interval until the lease ends; raises Lost."""
+        number, last_orders = None, {}
         self.sites.leading = lambda: held.left() > 0
         while held.left() > 0:
             if number is None:
-                number = max([unpacked(step, 0)[0] for step in self.each(held, None)], default=0)
-            wishes, self.wishes = self.wishes, []
-            for name, order, _ in wishes:
+                number = max([unpacked(step, 0)[0] for step in self.visit_all(held, None)], default=0)
+            pending, self.pending_orders = self.pending_orders, []
+            for name, order, _ in pending:
                 self.sites.shedding.on_orders(host.now(), {name: order})
             orders = self.sites.orders_to_give()
-            if orders != told:
-                names = {name: order.name for name, order in orders.items()}
-                self.log.info("site return", orders=names, states=self.sites.detector.for_dispatches())
-            number, told = number + 1, orders
-            step = packed(number, [orders[name] for name in self.names])
-            steps = self.each(held, step)
-            # A place may have a later one, from a holder that this one has not heard of: gone above with the next.
+            if orders != last_orders:
+                order_names = {name: order.name for name, order in orders.items()}
+                self.log.info("site return", orders=order_names, states=self.sites.detector.for_dispatches())
+            number, last_orders = number + 1, orders
+            step = packed(number, [orders[name] for name in self.site_names])
+            steps = self.visit_all(held, step)
+            # A proxy may be at a later step, from a holder unknown to this one: the next step's number is
+            # above that.
             number = max([number, *(unpacked(s, 0)[0] for s in steps)])
-            for _, _, done in wishes:
-                done.set()
-            host.sleep(self.every)
+            for _, _, delivered in pending:
+                delivered.set()
+            host.sleep(self.interval)
 
-    def each(self, held, step):
-        """Visits all that are there, side by side: one that cannot be reached must not hold up the others. The steps they are at."""
-        found, lost = [], []
+    def visit_all(self, held, step):
+        """Visits all live proxies in parallel, so that an unreachable one does not delay the others, and has
+        each do `step` unless that is None. Returns the steps that they are at; raises Lost."""
+        steps, lost = [], []
 
-        def visit(place):
+        def visit(proxy):
             try:
-                one = held.ask(place)
+                connection = held.ask(proxy)
                 try:
                     if step is not None:
-                        one.act(step, DONE)
-                    found.append(one.step)
+                        connection.act(step, ACT_TIMEOUT)
+                    steps.append(connection.step)
                 finally:
-                    one.close()
+                    connection.close()
             except Lost:
-                lost.append(place)
-            except (OSError, host.Refused, host.Timeout, frames.BadFrame) as trouble:
+                lost.append(proxy)
+            except (OSError, host.Refused, host.Timeout, frames.BadFrame) as error:
                 self.log.info(
-                    "not reached",
+                    "could not contact proxy",
                     duty=self.name,
-                    place=place,
-                    why=str(trouble)[:100] or type(trouble).__name__,
+                    place=proxy,
+                    why=str(error)[:100] or type(error).__name__,
                 )
 
         host.join(
-            [host.spawn(visit, place) for place in sorted(held.others() & set(held.shell.streams))], 3 * DONE
+            [host.spawn(visit, proxy) for proxy in sorted(held.others() & set(held.shell.streams))],
+            3 * ACT_TIMEOUT,
         )
         if lost:
             raise Lost()
-        return found
+        return steps
 
-    # ---- acted upon ----
+    # ---- at the proxy acted upon ----
 
     def act(self, step, token):
         if token != self.token:
-            # Once a holder, not at each step: steps of one holder rise by themselves.
+            # Written once for each holder, not at each step: the steps of one holder increase by themselves.
             try:
-                self.keep(self.file, step, token, DONE)
+                self.keep(self.file, step, token, ACT_TIMEOUT)
             except host.Timeout:
-                raise OSError("its disk does not answer") from None
+                raise OSError("disk did not confirm the write in time") from None
             self.token = token
-        self.sites.shedding.on_orders(host.now(), dict(zip(self.names, unpacked(step, len(self.names))[1])))
+        self.sites.shedding.on_orders(
+            host.now(), dict(zip(self.site_names, unpacked(step, len(self.site_names))[1]))
+        )
         return True
 
     def order(self, verb, site):
-        """An operator's, at the holder: (whether it was told to all that are there, text)."""
-        if site not in self.names:
-            return False, f"no site '{site}'; known: {', '.join(self.names)}"
-        done = host.Once()
-        self.wishes.append((site, ORDERS[verb], done))
+        """An operator's order, at the holder: (whether it was delivered to all live proxies, text)."""
+        if site not in self.site_names:
+            return False, f"no site '{site}'; known: {', '.join(self.site_names)}"
+        delivered = host.Once()
+        self.pending_orders.append((site, ORDER_BY_VERB[verb], delivered))
         try:
-            done.wait(TOLD)
+            delivered.wait(ORDER_TIMEOUT)
         except host.Timeout:
-            return False, "not told to all yet: look at its status"
-        return True, f"{site}: told to all that are there"
+            return False, "not delivered to all proxies yet; check the duty's status"
+        return True, f"{site}: delivered to all live proxies"
