--- a/gannetfront/duties/tenants.py
+++ b/gannetfront/duties/tenants.py
@@ -1,8 +1,10 @@
-"""The duty `tenants`: who holds it reads the directory for all, and hands numbered views on under its token.
+"""The duty `tenants`: its holder reads the directory for all proxies and distributes numbered views under its
+token.
 
-The views' epoch is the token: a proxy takes none that is older than the one it holds, whoever sends it and however late. What a holder
-had itself seen before may be older than what others hold; so it gives out nothing until the directory has answered it, and where a
-proxy comes that holds a later epoch, the duty is let go and taken anew above it. Without a holder all serve by the view they hold.
+The epoch of a view is the token: a proxy accepts no view older than the one it has, whoever sends it and
+however late. What a new holder saw before may be older than what other proxies have. So it distributes
+nothing until the directory has answered it, and where a proxy connects that has a later epoch, it steps down
+and acquires the duty again above that epoch. Without a holder all proxies serve by the view they have.
 """
 
 from .. import host
@@ -11,20 +13,24 @@
 from .shell import Duty
 from .tokens import epoch_of, token_of
 
-LOOK = 100.0
+POLL_INTERVAL = 100.0  # ms between checks that the duty is still held
 
 
 class Tenants(Duty):
+    """The duty `tenants` at one proxy: the directory reader while it holds the duty, and the streams of
+    proxies that want views."""
+
     name = "tenants"
 
-    def __init__(self, d, link, streams, log, chance):
-        """`d` is a checked Directory; `link` this proxy's own Tenants, which is told where the holder is; `streams` {number: address}."""
-        self.d, self.link, self.streams, self.log, self.chance, self.reader = (
-            d,
+    def __init__(self, directory, link, streams, log, random):
+        """`directory` is a checked Directory and `link` this proxy's own Tenants, which connects to the
+        holder. `streams` is {number: address}; `random.random()` spreads the reader's retries."""
+        self.directory, self.link, self.streams, self.log, self.random, self.reader = (
+            directory,
             link,
             streams,
             log,
-            chance,
+            random,
             None,
         )
 
@@ -32,35 +38,36 @@
         if holder in self.streams:
             self.link.turn_to(self.streams[holder])
 
-    # ---- held ----
+    # ---- while the duty is held ----
 
     def work(self, held):
+        """Reads the directory and serves views until the lease ends."""
         view, epoch = self.link.held, epoch_of(held.token)
         known = None if view.members is None else View(view.number, view.members, view.groups, [])
-        reader = Reader(self.d, self.log, self.chance, term=(epoch, known))
+        reader = Reader(self.directory, self.log, self.random, term=(epoch, known))
 
-        def ahead(theirs, number):
-            given = reader.publisher.views[-1].number if reader.publisher.views else 0
-            if theirs > epoch or theirs == epoch and number > given:
-                # Somebody held it whom the electors have forgotten.
-                self.log.warning("a later view is held by a proxy", theirs=theirs, ours=epoch)
-                held.shell.refused(self.name, (token_of(theirs)[0] + 1, 0, 0))
+        def on_later_view(other_epoch, number):
+            newest = reader.publisher.views[-1].number if reader.publisher.views else 0
+            if other_epoch > epoch or other_epoch == epoch and number > newest:
+                # An earlier holder that the electors no longer remember gave it out.
+                self.log.warning("a later view is held by a proxy", theirs=other_epoch, ours=epoch)
+                held.shell.refused(self.name, (token_of(other_epoch)[0] + 1, 0, 0))
 
-        reader.ahead = ahead
-        inside = [host.spawn(reader.run), host.spawn(reader.watch)]
+        reader.ahead = on_later_view
+        greenlets = [host.spawn(reader.run), host.spawn(reader.watch)]
         self.reader = reader
         try:
             while held.left() > 0:
-                host.sleep(LOOK)
+                host.sleep(POLL_INTERVAL)
         finally:
             self.reader = None
-            for one in inside:
-                host.stop(one)
+            for greenlet in greenlets:
+                host.stop(greenlet)
             for link in list(reader.links):
                 link.stream.close()
 
     def serve(self, stream, reader, hello):
-        """A proxy that comes for views, until it goes; False while there is nobody to serve it."""
+        """Serves views to a proxy until it disconnects; False where the duty's reader does not run here."""
         if self.reader is None:
             return False
         self.reader.handle(stream, reader, hello)
