--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease core: all orders of events within bounds, and that the explorer finds what is planted."""
+"""The lease protocol: every order of events within bounds, and that the explorer finds planted faults."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -26,26 +26,26 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_in_no_order_of_events_do_two_hold(kind):
-    states, wrong, way, whole = explore(
+    states, breach, path, complete = explore(
         bounds=Bounds(**NONE | dict(advances=8) | KINDS[kind]), most=60000, held=True
     )
-    assert wrong is None and whole and states > 1000, way
+    assert breach is None and complete and states > 1000, path
 
 
-class Talkative(Elector):  # one that has just started speaks at once
+class Talkative(Elector):  # answers right after a start, while leases that it granted may be valid
     def __init__(self, now, longest, rate):
         super().__init__(now, longest, rate)
         self.quiet_until = now
 
 
-class Lenient(Elector):  # accepts what is below its promise
+class Lenient(Elector):  # accepts a proposal below its promise
     def hear(self, now, source, message):
         if message[0] == "propose":
             self.promised = min(self.promised, message[1])
         return super().hear(now, source, message)
 
 
-class Forgetful(Elector):  # a new promise makes it forget whom it accepted
+class Forgetful(Elector):  # forgets the accepted lease when it makes a new promise
     def hear(self, now, source, message):
         answer = super().hear(now, source, message)
         if answer and answer[0] == "promise":
@@ -54,49 +54,49 @@
         return answer
 
 
-class Hasty(Elector):  # its own clock ends a lease at half its span
+class Hasty(Elector):  # expires a lease after half its span
     def hear(self, now, source, message):
         if message[0] == "propose":
             message = (*message[:3], message[3] / 2)
         return super().hear(now, source, message)
 
 
-class Clockless(Candidate):  # knows of no other rate than its own
+class Clockless(Candidate):  # does not allow for clocks of another rate
     rate = property(lambda self: 0.0, lambda self, value: None)
 
 
-class AnyBallot(Candidate):  # takes the answer to an earlier try for one to this
+class AnyBallot(Candidate):  # takes an answer to an earlier attempt for one to this attempt
     def hear(self, now, elector, message, out):
         super().hear(now, elector, (message[0], self.ballot, *message[2:]), out)
 
 
-class Greedy(Candidate):  # takes another's lease for free
-    def promise(self, now, elector, holder, token, left, out):
+class Greedy(Candidate):  # ignores another holder's lease
+    def promise(self, now, elector, holder, token, remaining, out):
         super().promise(now, elector, holder, token, 0.0, out)
 
 
-class Few(Candidate):  # one of three is enough
-    def enough(self, those):
-        return len(those) >= len(self.electors) // 2
+class Few(Candidate):  # takes one elector of three for a majority
+    def enough(self, responders):
+        return len(responders) >= len(self.electors) // 2
 
 
-class Endless(Candidate):  # looks at its lease only when it is woken
+class Endless(Candidate):  # checks the expiry of its lease only in tick()
     def holds(self, now):
         return self.token
 
 
-class Immortal(Candidate):  # does not step down by itself
+class Immortal(Candidate):  # does not step down when its lease expires
     def tick(self, now, out):
         self.until = max(self.until, now + 1) if self.token else self.until
         super().tick(now, out)
 
 
-class Clinging(Candidate):  # tells its successor before it has let go
+class Clinging(Candidate):  # notifies its successor without giving up its own lease
     def let_go(self, now, why, out):
         pass
 
 
-class EachVoice(Candidate):  # counts one elector's word as often as it comes
+class EachVoice(Candidate):  # counts one elector's answer as often as it arrives
     def hear(self, now, elector, message, out):
         if (
             self.phase == "propose"
@@ -121,39 +121,46 @@
     Immortal: dict(cuts=1, advances=7, held=True),
     Clinging: dict(hands=1, advances=3, held=True),
 }
-SLOW = (AnyBallot,)  # found by bench/duties.py: minutes of states
+SLOW = (AnyBallot,)  # exploring its states takes minutes; bench/duties.py covers it
 
 
 @pytest.mark.parametrize("bug", [b for b in PLANTED if b not in SLOW], ids=lambda b: b.__name__)
-def test_what_is_planted_is_found(bug):
-    facts = dict(PLANTED[bug])
-    held, kinds = facts.pop("held", False), (bug, Candidate) if issubclass(bug, Elector) else (Elector, bug)
-    states, wrong, way, _ = explore(kinds, bounds=Bounds(**NONE | facts), most=60000, held=held, rate=0.2)
-    assert wrong and way, f"{states} states"
+def test_each_planted_fault_is_found(bug):
+    limits = dict(PLANTED[bug])
+    held, kinds = limits.pop("held", False), (bug, Candidate) if issubclass(bug, Elector) else (Elector, bug)
+    states, breach, path, _ = explore(kinds, bounds=Bounds(**NONE | limits), most=60000, held=held, rate=0.2)
+    assert breach and path, f"{states} states"
 
 
 class Many:
-    """Electors and candidates in drawn days, past the explorer's bounds: clocks of any rate within the limit, every trouble."""
+    """Electors and candidates under random faults beyond the explorer's bounds, with clocks of any rate
+    within the limit."""
 
-    def __init__(self, draw, electors, candidates):
-        self.draw, self.now, self.way, self.rate, self.span = draw, 0.0, [], 0.02, 100.0
+    def __init__(self, random, electors, candidates):
+        self.random, self.now, self.in_transit, self.rate, self.span = random, 0.0, [], 0.02, 100.0
 
         def rate():
-            return 1 + self.rate * (2 * draw.random() - 1)
+            return 1 + self.rate * (2 * random.random() - 1)
 
         self.rates = {n: rate() for n in (*[f"e{n}" for n in range(electors)], *range(candidates))}
         self.electors = {n: Elector(-1e9, self.span, self.rate) for n in self.rates if isinstance(n, str)}
-        self.candidates = {n: self.begin(n, 0) for n in range(candidates)}
+        self.candidates = {n: self.start(n, 0) for n in range(candidates)}
         self.stalled, self.tokens, self.holds = set(), [], 0
 
-    def begin(self, n, life):
-        return Candidate(n, life, self.electors, self.span, self.rate, self.draw, self.now * self.rates[n])
+    def start(self, n, life):
+        return Candidate(n, life, self.electors, self.span, self.rate, self.random, self.now * self.rates[n])
 
     def send(self, elector, message, source=None):
-        for _ in range(1 + (self.draw.random() < 0.05)):
-            if self.draw.random() > 0.1:
-                late = 3.0 * self.draw.random() if self.draw.random() < 0.95 else 200.0 * self.draw.random()
-                self.way.append((self.now + late, self.me if source is None else source, elector, message))
+        for _ in range(1 + (self.random.random() < 0.05)):
+            if self.random.random() > 0.1:
+                delay = (
+                    3.0 * self.random.random()
+                    if self.random.random() < 0.95
+                    else 200.0 * self.random.random()
+                )
+                self.in_transit.append(
+                    (self.now + delay, self.me if source is None else source, elector, message)
+                )
 
     def gained(self, token):
         self.tokens.append(token)
@@ -163,8 +170,8 @@
 
     def step(self):
         self.now += 1.0
-        due = sorted((w for w in self.way if w[0] <= self.now), key=lambda w: w[0])
-        self.way = [w for w in self.way if w[0] > self.now]
+        due = sorted((entry for entry in self.in_transit if entry[0] <= self.now), key=lambda entry: entry[0])
+        self.in_transit = [entry for entry in self.in_transit if entry[0] > self.now]
         for _, source, target, message in due:
             clock = self.now * self.rates[target]
             if target in self.electors:
@@ -174,18 +181,18 @@
             elif target not in self.stalled:
                 self.me = target
                 self.candidates[target].hear(clock, source, message, self)
-        for n, one in self.candidates.items():
-            if self.draw.random() < 0.004:
+        for n, candidate in self.candidates.items():
+            if self.random.random() < 0.004:
                 self.stalled ^= {n}
-            if self.draw.random() < 0.002:
-                self.candidates[n] = one = self.begin(n, one.life + 1)
-            if n not in self.stalled and self.now * self.rates[n] >= one.due_at():
+            if self.random.random() < 0.002:
+                self.candidates[n] = candidate = self.start(n, candidate.life + 1)
+            if n not in self.stalled and self.now * self.rates[n] >= candidate.due_at():
                 self.me = n
-                one.tick(self.now * self.rates[n], self)
+                candidate.tick(self.now * self.rates[n], self)
         for n in self.electors:
-            if self.draw.random() < 0.001:
+            if self.random.random() < 0.001:
                 self.electors[n] = Elector(self.now * self.rates[n], self.span, self.rate)
-        holders = [n for n, one in self.candidates.items() if one.holds(self.now * self.rates[n])]
+        holders = [n for n, candidate in self.candidates.items() if candidate.holds(self.now * self.rates[n])]
         self.holds += len(holders) == 1
         assert len(holders) <= 1, f"{holders} at {self.now}"
 
@@ -199,11 +206,11 @@
     assert day.holds or electors < 3
 
 
-def test_thirty_that_wake_together_have_a_holder_soon():
-    day = Many(Jitter(3), 3, 30)
+def test_thirty_candidates_that_start_together_soon_have_a_holder():
+    run = Many(Jitter(3), 3, 30)
     for _ in range(200):
-        day.step()
-    assert day.holds > 0
+        run.step()
+    assert run.holds > 0
 
 
 def test_tokens_rise_and_a_fence_refuses_what_is_below():
@@ -217,38 +224,39 @@
 
     class Out:
         def __init__(self):
-            self.sent, self.heard = [], []
+            self.sent, self.events = [], []
 
         def send(self, elector, message):
             return self.sent.append((elector, message))
 
         def gained(self, token):
-            return self.heard.append(token)
+            return self.events.append(token)
 
         def lost(self, why):
-            return self.heard.append(why)
+            return self.events.append(why)
 
     out, elector = Out(), Elector(-1e9, 100.0, 0.0)
-    one = Candidate(1, 5, ["e"], 100.0, 0.0, Same(0.0), 0.0)
+    candidate = Candidate(1, 5, ["e"], 100.0, 0.0, Same(0.0), 0.0)
 
     def exchange(now):
         while out.sent:
             target, message = out.sent.pop(0)
             answer = elector.hear(now, 1, message)
             if answer:
-                one.hear(now, target, answer, out)
+                candidate.hear(now, target, answer, out)
 
-    one.tick(0.0, out)
+    candidate.tick(0.0, out)
     exchange(0.0)
-    token = one.holds(1.0)
-    assert token and one.holds(99.9) == token and one.holds(100.0) is None
-    # All electors forgot; whoever is acted upon did not: it tells, and the duty is taken anew above.
-    one.refused(2.0, (40, 0, 0), out)
-    assert one.holds(2.0) is None and out.heard[-1] == "a higher token was seen"
+    token = candidate.holds(1.0)
+    assert token and candidate.holds(99.9) == token and candidate.holds(100.0) is None
+    # All electors have restarted and forgot the token, but the proxy acted upon did not: it reports its
+    # higher token, and the candidate acquires the duty again above it.
+    candidate.refused(2.0, (40, 0, 0), out)
+    assert candidate.holds(2.0) is None and out.events[-1] == "a higher token was seen"
     exchange(2.0)
-    one.tick(3.0, out)
+    candidate.tick(3.0, out)
     exchange(3.0)
-    assert one.holds(4.0) > (40, 0, 0)
+    assert candidate.holds(4.0) > (40, 0, 0)
 
 
 def test_spans_leave_room_for_clocks():
