--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -11,7 +11,7 @@
 duty; a repeated step is answered "again".
 """
 
-from .lease import Fence, surely
+from .lease import Fence, span_upper_bound
 
 PATIENCE = 200.0  # ms that a nonce is valid
 DOORS = 64  # valid nonces at a time; issuing one more discards the oldest
@@ -64,7 +64,7 @@
 
 def time_to_act(remaining, rate):
     """True where a lease with `remaining` ms left outlasts any nonce, for all clocks within `rate`."""
-    return remaining > surely(PATIENCE, rate)
+    return remaining > span_upper_bound(PATIENCE, rate)
 
 
 class Rounds:
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -30,13 +30,13 @@
 )  # consecutive immediate retries after a hand-over; spans between attempts while the settings are outdated
 
 
-def surely(span, rate):
+def span_upper_bound(span, rate):
     """The least ms that a local clock must count before `span` ms are over on every clock within `rate` of
     true time."""
     return span * (1 + rate) / (1 - rate)
 
 
-def at_most(span, rate):
+def span_lower_bound(span, rate):
     """The most ms that a local clock may count while `span` ms are not over on any clock within `rate` of
     true time."""
     return span * (1 - rate) / (1 + rate)
@@ -47,7 +47,7 @@
     for."""
 
     def __init__(self, now, max_span, rate):
-        self.rate, self.max_span, self.quiet_until = rate, max_span, now + surely(max_span, rate)
+        self.rate, self.max_span, self.quiet_until = rate, max_span, now + span_upper_bound(max_span, rate)
         self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, expiry)
 
     def hear(self, now, source, message):
@@ -234,12 +234,12 @@
         self.phase, self.failed_attempts, until = (
             None,
             0,
-            self.phase_started_at + at_most(self.span, self.rate),
+            self.phase_started_at + span_lower_bound(self.span, self.rate),
         )
         if now >= until:
             return self.abandon_attempt(now, 0.0)
         is_new, self.token, self.until = self.holds(now) != self.proposed_token, self.proposed_token, until
-        self.next_try = self.phase_started_at + 0.4 * at_most(self.span, self.rate)
+        self.next_try = self.phase_started_at + 0.4 * span_lower_bound(self.span, self.rate)
         if is_new:
             self.pressed = 0
             out.gained(self.token)
--- a/gannetfront/duties/shell.py
+++ b/gannetfront/duties/shell.py
@@ -11,7 +11,7 @@
 from .. import host
 from ..wire import control_pb2 as c, duties as lease, frames
 from .acts import PATIENCE, Gate, time_to_act
-from .lease import surely
+from .lease import span_upper_bound
 from .post import Post
 
 ASK, LOOK = 1000.0, 100.0  # ms: for a word of another proxy; between a holder's looks at whether it may act
@@ -133,7 +133,7 @@
         if not time_to_act(self.held.left(), self.held.rate):
             raise Lost()
         doors = self.held.shell.doors.setdefault(self.held.post.name, {})
-        doors[self] = host.now() + surely(PATIENCE, self.held.rate)
+        doors[self] = host.now() + span_upper_bound(PATIENCE, self.held.rate)
         name, done = self.word(limit, act=c.Act(nonce=self.nonce, token=self.held.token, step=step))
         if name != "done":
             raise frames.BadFrame(f"a {name} for an act's end")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings, strategies as st
 
 from gannetfront.duties.explorer import Bounds, Same, explore
-from gannetfront.duties.lease import Candidate, Elector, Fence, at_most, surely
+from gannetfront.duties.lease import Candidate, Elector, Fence, span_lower_bound, span_upper_bound
 from gannetfront.host import Jitter
 
 NONE = dict(losses=0, late=0, elector_restarts=0)
@@ -260,4 +260,7 @@
 
 
 def test_spans_leave_room_for_clocks():
-    assert at_most(100.0, 0.02) * 1 / (1 - 0.02) <= 100.0 / (1 + 0.02) + 1e-9 and surely(100.0, 0.02) > 100.0
+    assert (
+        span_lower_bound(100.0, 0.02) * 1 / (1 - 0.02) <= 100.0 / (1 + 0.02) + 1e-9
+        and span_upper_bound(100.0, 0.02) > 100.0
+    )
