--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -122,7 +122,7 @@
             tuple(picture(x) for x in self.candidates.values()),
             tuple(
                 sorted(
-                    repr((picture(x), of(n), [c.said.get(n) for c in self.candidates.values()]))
+                    repr((picture(x), of(n), [c.responses.get(n) for c in self.candidates.values()]))
                     for n, x in self.electors.items()
                 )
             ),
@@ -284,8 +284,8 @@
 def clone(one):
     other = object.__new__(type(one))
     other.__dict__.update(one.__dict__)
-    if "said" in other.__dict__:
-        other.said = dict(one.said)
+    if "responses" in other.__dict__:
+        other.responses = dict(one.responses)
     return other
 
 
@@ -293,7 +293,7 @@
     return tuple(
         (n, v)
         for n, v in sorted(one.__dict__.items())
-        if n not in ("chance", "electors", "sets", "seen", "behind", "why", "generation", "said")
+        if n not in ("chance", "electors", "quorum_sets", "seen", "behind", "why", "generation", "responses")
     )
 
 
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -47,14 +47,18 @@
     for."""
 
     def __init__(self, now, max_span, rate):
-        self.rate, self.max_span, self.quiet_until = rate, max_span, now + span_upper_bound(max_span, rate)
+        self.rate, self.max_span, self.quarantined_until = (
+            rate,
+            max_span,
+            now + span_upper_bound(max_span, rate),
+        )
         self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, expiry)
 
     def hear(self, now, source, message):
         """Handles a candidate's request; returns the answer, or None where there is none."""
         kind, ballot, *fields = message
         self.highest = max(self.highest, ballot[0])
-        if now < self.quiet_until:
+        if now < self.quarantined_until:
             return None
         if self.accepted and now >= self.accepted[2]:
             self.accepted = None
@@ -85,13 +89,13 @@
 
     def __init__(self, me, life, electors, span, rate, chance, now, wants=True, before=(), generation=0):
         self.me, self.life, self.span, self.rate = me, life, span, rate
-        self.electors, self.sets = (
+        self.electors, self.quorum_sets = (
             tuple(dict.fromkeys((*electors, *before))),
             [s for s in (tuple(electors), tuple(before)) if s],
         )
         self.chance, self.wants, self.round, self.ended_token = chance, wants, generation * GENERATION, None
         self.generation, self.outdated = generation, False
-        self.ballot, self.phase, self.said, self.phase_started_at = None, None, {}, now
+        self.ballot, self.phase, self.responses, self.phase_started_at = None, None, {}, now
         self.token, self.until, self.next_try, self.why, self.failed_attempts = (
             None,
             now,
@@ -154,7 +158,7 @@
 
     def start_attempt(self, now, out):
         self.round += 1
-        self.ballot, self.phase, self.said, self.phase_started_at = (
+        self.ballot, self.phase, self.responses, self.phase_started_at = (
             (self.round, self.me, self.life),
             "prepare",
             {},
@@ -163,9 +167,9 @@
         for elector in self.electors:
             out.send(elector, ("prepare", self.ballot))
 
-    def enough(self, responders):
+    def has_quorum(self, responders):
         """True where `responders` are a majority, of both sets while electors are being replaced."""
-        return all(sum(e in responders for e in members) > len(members) // 2 for members in self.sets)
+        return all(sum(e in responders for e in members) > len(members) // 2 for members in self.quorum_sets)
 
     def hear(self, now, elector, message, out):
         """Handles an elector's answer."""
@@ -189,8 +193,8 @@
         elif kind == "promise" and self.phase == "prepare":
             self.promise(now, elector, *fields, out)
         elif kind == "accepted" and self.phase == "propose":
-            self.said[elector] = True
-            if self.enough(self.said):
+            self.responses[elector] = True
+            if self.has_quorum(self.responses):
                 self.acquire(now, out)
 
     def observe_round(self, highest):
@@ -209,16 +213,16 @@
             self.observe_round(token[0])
         # This process's own lease does not block it, nor does one that its holder has reported as ended. A
         # lease of an earlier process of the same proxy does.
-        self.said[elector] = (
+        self.responses[elector] = (
             0.0
             if token is None or token[1:] == (self.me, self.life) or token == self.ended_token
             else remaining
         )
-        if self.said[elector] > 0:
+        if self.responses[elector] > 0:
             self.seen = token
-        if self.enough([e for e, remaining in self.said.items() if remaining <= 0]):
+        if self.has_quorum([e for e, remaining in self.responses.items() if remaining <= 0]):
             token = self.holds(now) or self.ballot
-            self.phase, self.said, self.phase_started_at = (
+            self.phase, self.responses, self.phase_started_at = (
                 "propose",
                 {},
                 now,
@@ -226,8 +230,10 @@
             self.proposed_token = token
             for elector in self.electors:
                 out.send(elector, ("propose", self.ballot, token, self.span))
-        elif not self.enough([e for e in self.electors if self.said.get(e, 0.0) <= 0]):
-            self.abandon_attempt(now, min(remaining for remaining in self.said.values() if remaining > 0))
+        elif not self.has_quorum([e for e in self.electors if self.responses.get(e, 0.0) <= 0]):
+            self.abandon_attempt(
+                now, min(remaining for remaining in self.responses.values() if remaining > 0)
+            )
 
     def acquire(self, now, out):
         """A majority has accepted: the lease is gained or renewed, unless it has expired in the meantime."""
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -422,7 +422,7 @@
 made = lease.Elector.__init__
 def init(self, now, longest, rate):
     made(self, now, longest, rate)
-    self.quiet_until = now
+    self.quarantined_until = now
 lease.Elector.__init__ = init
 """,
     ),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -35,7 +35,7 @@
 class Talkative(Elector):  # answers right after a start, while leases that it granted may be valid
     def __init__(self, now, longest, rate):
         super().__init__(now, longest, rate)
-        self.quiet_until = now
+        self.quarantined_until = now
 
 
 class Lenient(Elector):  # accepts a proposal below its promise
@@ -76,7 +76,7 @@
 
 
 class Few(Candidate):  # takes one elector of three for a majority
-    def enough(self, responders):
+    def has_quorum(self, responders):
         return len(responders) >= len(self.electors) // 2
 
 
@@ -102,9 +102,9 @@
             self.phase == "propose"
             and message[0] == "accepted"
             and message[1] == self.ballot
-            and elector in self.said
+            and elector in self.responses
         ):
-            self.said[f"{elector} again"] = True
+            self.responses[f"{elector} again"] = True
         super().hear(now, elector, message, out)
 
 
