--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -293,7 +293,17 @@
     return tuple(
         (n, v)
         for n, v in sorted(one.__dict__.items())
-        if n not in ("chance", "electors", "quorum_sets", "seen", "behind", "why", "generation", "responses")
+        if n
+        not in (
+            "chance",
+            "electors",
+            "quorum_sets",
+            "reported_token",
+            "start_delay",
+            "lost_reason",
+            "generation",
+            "responses",
+        )
     )
 
 
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -12,10 +12,10 @@
 When all electors have restarted, the proxy acted upon reports its higher token, and the holder steps down and
 acquires the duty again above it (`Candidate.refused`).
 
-Electors are replaced by way of settings that name both sets (`Candidate(before=)`). A majority of each set is
-needed, so no step, from the old set to both or from both to the new set, allows two disjoint majorities. Each
-step has a later `generation`. Rounds of a generation begin above all rounds of earlier ones, so a fence
-rejects a candidate whose settings are two steps behind.
+Electors are replaced by way of settings that name both sets (`Candidate(previous_electors=)`). A majority of
+each set is needed, so no step, from the old set to both or from both to the new set, allows two disjoint
+majorities. Each step has a later `generation`. Rounds of a generation begin above all rounds of earlier ones,
+so a fence rejects a candidate whose settings are two steps behind.
 
 A ballot, and a token, is (round, number, life). `life` is drawn at random at each start, so that an answer to
 an earlier process of the same proxy is not taken for an answer to this one. Requests: prepare(ballot),
@@ -24,7 +24,7 @@
 """
 
 GENERATION = 2**32  # rounds of one generation of electors
-PRESSED, OUTDATED = (
+IMMEDIATE_RETRIES, OUTDATED_RETRY_SPANS = (
     3,
     10,
 )  # consecutive immediate retries after a hand-over; spans between attempts while the settings are outdated
@@ -84,43 +84,45 @@
 class Candidate:
     """One proxy's proposer for one duty, and the lease while it holds it.
 
-    `electors` are numbers, `before` the electors that are being replaced; `chance.random()` spreads retries.
-    `out` has the callbacks send(elector, message), gained(token) and lost(why)."""
+    `electors` are numbers, `previous_electors` those that are being replaced; `chance.random()` spreads
+    retries. `out` has the callbacks send(elector, message), gained(token) and lost(why)."""
 
-    def __init__(self, me, life, electors, span, rate, chance, now, wants=True, before=(), generation=0):
+    def __init__(
+        self, me, life, electors, span, rate, chance, now, wants=True, previous_electors=(), generation=0
+    ):
         self.me, self.life, self.span, self.rate = me, life, span, rate
         self.electors, self.quorum_sets = (
-            tuple(dict.fromkeys((*electors, *before))),
-            [s for s in (tuple(electors), tuple(before)) if s],
+            tuple(dict.fromkeys((*electors, *previous_electors))),
+            [s for s in (tuple(electors), tuple(previous_electors)) if s],
         )
         self.chance, self.wants, self.round, self.ended_token = chance, wants, generation * GENERATION, None
         self.generation, self.outdated = generation, False
         self.ballot, self.phase, self.responses, self.phase_started_at = None, None, {}, now
-        self.token, self.until, self.next_try, self.why, self.failed_attempts = (
+        self.token, self.expires_at, self.next_attempt_at, self.lost_reason, self.failed_attempts = (
             None,
             now,
             now,
             "never held",
             0,
         )
-        self.behind = 0.0  # ms by which this candidate delays its attempts, so that preferred ones go first
-        self.pressed = 0  # immediate retries that remain after a hand-over
-        self.seen = None  # token of the holder that the electors last reported
+        self.start_delay = 0.0  # ms added to each attempt, so that preferred candidates go first
+        self.immediate_retries = 0  # that remain after a hand-over
+        self.reported_token = None  # token of the holder that the electors last reported
 
     def holds(self, now):
         """The token while the lease is valid, else None. Check it right before each act; it may expire at any
         time after."""
-        return self.token if self.token is not None and now < self.until else None
+        return self.token if self.token is not None and now < self.expires_at else None
 
     def due_at(self):
         """When `tick` is to be called next."""
         if self.phase:
             return (
-                min(self.phase_started_at + self.answer_timeout(), self.until)
+                min(self.phase_started_at + self.answer_timeout(), self.expires_at)
                 if self.token
                 else self.phase_started_at + self.answer_timeout()
             )
-        return min(self.next_try, self.until) if self.token else self.next_try
+        return min(self.next_attempt_at, self.expires_at) if self.token else self.next_attempt_at
 
     def answer_timeout(self):
         """ms in which electors are to answer: a fifth of the span, so that a renewal may fail twice."""
@@ -128,11 +130,11 @@
 
     def tick(self, now, out):
         """Expires the lease, ends an attempt that timed out, and starts the next one when it is due."""
-        if self.token is not None and now >= self.until:
+        if self.token is not None and now >= self.expires_at:
             self.step_down("it could not be renewed in time", out)
         if self.phase and now >= self.phase_started_at + self.answer_timeout():
             self.abandon_attempt(now, 0.0)
-        if not self.phase and self.wants and now >= self.next_try:
+        if not self.phase and self.wants and now >= self.next_attempt_at:
             self.start_attempt(now, out)
 
     def abandon_attempt(self, now, remaining):
@@ -142,7 +144,7 @@
         # candidates that wake together must not invalidate each other's ballots for ever. The holder itself
         # retries soon.
         self.phase, self.failed_attempts = None, 0 if remaining else min(self.failed_attempts + 1, 5)
-        self.next_try = (
+        self.next_attempt_at = (
             now
             + remaining
             + self.chance.random()
@@ -150,11 +152,11 @@
             * (0.5 if self.token or remaining else 0.25 * 2.0**self.failed_attempts)
         )
         if self.token is None:
-            self.next_try += self.behind
-        if self.pressed and not remaining:
+            self.next_attempt_at += self.start_delay
+        if self.immediate_retries and not remaining:
             # The duty was handed over to this candidate and the electors only reported a higher round: no
             # other goes first.
-            self.pressed, self.next_try = self.pressed - 1, now
+            self.immediate_retries, self.next_attempt_at = self.immediate_retries - 1, now
 
     def start_attempt(self, now, out):
         self.round += 1
@@ -189,7 +191,9 @@
                 if token and token[1:] != (self.me, self.life) and token != self.ended_token
                 else 0.0
             )
-            self.abandon_attempt(now, max(remaining, OUTDATED * self.span) if self.outdated else remaining)
+            self.abandon_attempt(
+                now, max(remaining, OUTDATED_RETRY_SPANS * self.span) if self.outdated else remaining
+            )
         elif kind == "promise" and self.phase == "prepare":
             self.promise(now, elector, *fields, out)
         elif kind == "accepted" and self.phase == "propose":
@@ -219,7 +223,7 @@
             else remaining
         )
         if self.responses[elector] > 0:
-            self.seen = token
+            self.reported_token = token
         if self.has_quorum([e for e, remaining in self.responses.items() if remaining <= 0]):
             token = self.holds(now) or self.ballot
             self.phase, self.responses, self.phase_started_at = (
@@ -237,21 +241,25 @@
 
     def acquire(self, now, out):
         """A majority has accepted: the lease is gained or renewed, unless it has expired in the meantime."""
-        self.phase, self.failed_attempts, until = (
+        self.phase, self.failed_attempts, expires_at = (
             None,
             0,
             self.phase_started_at + span_lower_bound(self.span, self.rate),
         )
-        if now >= until:
+        if now >= expires_at:
             return self.abandon_attempt(now, 0.0)
-        is_new, self.token, self.until = self.holds(now) != self.proposed_token, self.proposed_token, until
-        self.next_try = self.phase_started_at + 0.4 * span_lower_bound(self.span, self.rate)
+        is_new, self.token, self.expires_at = (
+            self.holds(now) != self.proposed_token,
+            self.proposed_token,
+            expires_at,
+        )
+        self.next_attempt_at = self.phase_started_at + 0.4 * span_lower_bound(self.span, self.rate)
         if is_new:
-            self.pressed = 0
+            self.immediate_retries = 0
             out.gained(self.token)
 
     def step_down(self, why, out):
-        self.token, self.why = None, why
+        self.token, self.lost_reason = None, why
         out.lost(why)
 
     def refused(self, now, token, out):
@@ -263,18 +271,24 @@
             # the lease expires.
             self.phase = None
             self.step_down("a higher token was seen", out)
-            self.next_try = now + (OUTDATED * self.span if self.outdated else 0.0)
+            self.next_attempt_at = now + (OUTDATED_RETRY_SPANS * self.span if self.outdated else 0.0)
 
     def over(self, now, token):
         """The holder has reported that its lease `token` has ended: that lease no longer blocks this
         candidate, and it tries at once. Returns False for an outdated report."""
         if self.token is None and (self.ended_token is None or token > self.ended_token):
-            self.ended_token, self.phase, self.failed_attempts, self.next_try, self.pressed = (
+            (
+                self.ended_token,
+                self.phase,
+                self.failed_attempts,
+                self.next_attempt_at,
+                self.immediate_retries,
+            ) = (
                 token,
                 None,
                 0,
                 now,
-                PRESSED,
+                IMMEDIATE_RETRIES,
             )
             self.observe_round(token[0])
             return True
@@ -287,7 +301,7 @@
             self.step_down(why, out)
             for elector in self.electors:
                 out.send(elector, ("release", token))
-        self.next_try = now + self.span
+        self.next_attempt_at = now + self.span
 
 
 class Fence:
--- a/gannetfront/duties/post.py
+++ b/gannetfront/duties/post.py
@@ -44,7 +44,7 @@
     ):
         self.name, self.me, self.mates, self.span, self.settled_at = name, me, mates, span, now + settle
         self.candidate = Candidate(
-            me, life, electors, span, rate, chance, now, before=before, generation=generation
+            me, life, electors, span, rate, chance, now, previous_electors=before, generation=generation
         )
         self.candidate.wants = False
         # At each proxy, whoever its own settings name: while electors are changed one proxy after the other, the first with the new
@@ -90,8 +90,8 @@
         """`busy` is how much of its room is taken, 0 to 1; `alive` the numbers of those not known to be gone, for the order only."""
         one = self.candidate
         if not one.wants and now >= self.wants_at():
-            one.wants, one.next_try = True, max(one.next_try, now + self.behind(busy, alive))
-        one.behind = self.behind(busy, alive)
+            one.wants, one.next_attempt_at = True, max(one.next_attempt_at, now + self.behind(busy, alive))
+        one.start_delay = self.behind(busy, alive)
         one.tick(now, self)
         if one.token and now >= self.told_at:
             self.tell_some(now)
@@ -128,11 +128,11 @@
                 self.candidate.tick(now, self)
         elif source in self.candidate.electors:
             self.candidate.hear(now, source, message, self)
-            if self.candidate.pressed and not self.candidate.phase:
+            if self.candidate.immediate_retries and not self.candidate.phase:
                 self.candidate.tick(now, self)
-            if self.candidate.seen:
-                self.seen(now, self.candidate.seen)
-                self.candidate.seen = None
+            if self.candidate.reported_token:
+                self.seen(now, self.candidate.reported_token)
+                self.candidate.reported_token = None
         self.flush(now, out)
 
     def seen(self, now, token):
@@ -216,7 +216,7 @@
     # ---- told to whoever asks ----
 
     def status(self, now):
-        token, left = self.candidate.holds(now), self.candidate.until - now
+        token, left = self.candidate.holds(now), self.candidate.expires_at - now
         return dict(
             duty=self.name,
             holder=self.holder and self.holder[1],
--- a/gannetfront/duties/shell.py
+++ b/gannetfront/duties/shell.py
@@ -82,7 +82,7 @@
     def left(self):
         """ms that this proxy surely holds on; 0: it does not."""
         now, one = host.now(), self.post.candidate
-        return one.until - now if one.holds(now) == self.token else 0.0
+        return one.expires_at - now if one.holds(now) == self.token else 0.0
 
     def others(self):
         return self.shell.alive()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -410,7 +410,7 @@
         """
 from gannetfront.duties import lease
 lease.Candidate.holds = lambda self, now: self.token
-lease.Candidate.tick = (lambda tick: lambda self, now, out: (setattr(self, "until", max(self.until, now + 1e6)) if self.token else None,
+lease.Candidate.tick = (lambda tick: lambda self, now, out: (setattr(self, "expires_at", max(self.expires_at, now + 1e6)) if self.token else None,
                                                              tick(self, now, out)))(lease.Candidate.tick)
 """,
     ),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -87,7 +87,7 @@
 
 class Immortal(Candidate):  # does not step down when its lease expires
     def tick(self, now, out):
-        self.until = max(self.until, now + 1) if self.token else self.until
+        self.expires_at = max(self.expires_at, now + 1) if self.token else self.expires_at
         super().tick(now, out)
 
 
