--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -205,7 +205,7 @@
         if target in self.stalled:  # it waits to be read
             self.late += ((source, target, answer),)
         elif answer[0] == "over":
-            self.candidates[target].over(self.clock(target), answer[1])
+            self.candidates[target].lease_ended(self.clock(target), answer[1])
         else:
             self.candidates[target].hear(self.clock(target), source, answer, Out(self, target))
 
@@ -223,7 +223,7 @@
         """As the shell does it: the duty is let go, then the successor is told."""
         self.spend(8)
         token = self.candidates[name].token
-        self.candidates[name].let_go(self.clock(name), "handed over", Out(self, name))
+        self.candidates[name].release(self.clock(name), "handed over", Out(self, name))
         self.fresh += ((name, to, ("over", token)),)
 
     def restart(self, name):
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -10,7 +10,7 @@
 Every act therefore carries the holder's token, and the proxy acted upon rejects any token below the highest
 that it has seen (`Fence`). Tokens increase from one holder to the next as long as the electors remember them.
 When all electors have restarted, the proxy acted upon reports its higher token, and the holder steps down and
-acquires the duty again above it (`Candidate.refused`).
+acquires the duty again above it (`Candidate.superseded`).
 
 Electors are replaced by way of settings that name both sets (`Candidate(previous_electors=)`). A majority of
 each set is needed, so no step, from the old set to both or from both to the new set, allows two disjoint
@@ -262,7 +262,7 @@
         self.token, self.lost_reason = None, why
         out.lost(why)
 
-    def refused(self, now, token, out):
+    def superseded(self, now, token, out):
         """The proxy acted upon knows a higher token: steps down, and acquires the duty again above that
         token."""
         self.observe_round(token[0])
@@ -273,7 +273,7 @@
             self.step_down("a higher token was seen", out)
             self.next_attempt_at = now + (OUTDATED_RETRY_SPANS * self.span if self.outdated else 0.0)
 
-    def over(self, now, token):
+    def lease_ended(self, now, token):
         """The holder has reported that its lease `token` has ended: that lease no longer blocks this
         candidate, and it tries at once. Returns False for an outdated report."""
         if self.token is None and (self.ended_token is None or token > self.ended_token):
@@ -294,7 +294,7 @@
             return True
         return False
 
-    def let_go(self, now, why, out):
+    def release(self, now, why, out):
         """Gives the lease up in order: it ends here first, and then the electors are notified."""
         token, self.phase = self.token, None
         if self.token is not None:
--- a/gannetfront/duties/post.py
+++ b/gannetfront/duties/post.py
@@ -118,7 +118,7 @@
                 out.heard(message[1])
         elif kind == "over":
             # Only of its own token can a proxy say so.
-            if message[1][1] == source and not self.leaving and self.candidate.over(now, message[1]):
+            if message[1][1] == source and not self.leaving and self.candidate.lease_ended(now, message[1]):
                 self.handed, self.state, self.candidate.wants, self.kept_off = (
                     f"handed on by {source}: {message[3]}",
                     message[2],
@@ -146,7 +146,7 @@
 
     def refused(self, now, token, out):
         """Whoever was acted upon knows of a higher token than this one's."""
-        self.candidate.refused(now, token, self)
+        self.candidate.superseded(now, token, self)
         self.flush(now, out)
 
     def flush(self, now, out):
@@ -199,7 +199,7 @@
         token = self.candidate.holds(now)
         if token is None:
             return False
-        self.candidate.let_go(now, why, self)
+        self.candidate.release(now, why, self)
         self.candidate.wants, self.kept_off = False, now + KEPT_OFF * self.span
         if to is not None:
             self.way.append((to, ("over", token, state[:STATE], why[:WHY])))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -92,7 +92,7 @@
 
 
 class Clinging(Candidate):  # notifies its successor without giving up its own lease
-    def let_go(self, now, why, out):
+    def release(self, now, why, out):
         pass
 
 
@@ -251,7 +251,7 @@
     assert token and candidate.holds(99.9) == token and candidate.holds(100.0) is None
     # All electors have restarted and forgot the token, but the proxy acted upon did not: it reports its
     # higher token, and the candidate acquires the duty again above it.
-    candidate.refused(2.0, (40, 0, 0), out)
+    candidate.superseded(2.0, (40, 0, 0), out)
     assert candidate.holds(2.0) is None and out.events[-1] == "a higher token was seen"
     exchange(2.0)
     candidate.tick(3.0, out)
