--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -192,7 +192,7 @@
             return
         if target in self.candidates:
             return self.told(source, target, message)
-        answer = self.electors[target].hear(self.clock(target), source, message)
+        answer = self.electors[target].receive(self.clock(target), source, message)
         if answer and "answer lost" in how:
             self.spend(0)
         elif answer and "answer late" in how:
@@ -207,13 +207,13 @@
         elif answer[0] == "over":
             self.candidates[target].lease_ended(self.clock(target), answer[1])
         else:
-            self.candidates[target].hear(self.clock(target), source, answer, Out(self, target))
+            self.candidates[target].receive(self.clock(target), source, answer, Out(self, target))
 
     def comes(self, one):
         self.late = without(self.late, one)
         source, target, message = one
         if target in self.electors:
-            answer = self.electors[target].hear(self.clock(target), source, message)
+            answer = self.electors[target].receive(self.clock(target), source, message)
             if answer:
                 self.told(target, source, answer)
         else:
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -54,7 +54,7 @@
         )
         self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, expiry)
 
-    def hear(self, now, source, message):
+    def receive(self, now, source, message):
         """Handles a candidate's request; returns the answer, or None where there is none."""
         kind, ballot, *fields = message
         self.highest = max(self.highest, ballot[0])
@@ -173,7 +173,7 @@
         """True where `responders` are a majority, of both sets while electors are being replaced."""
         return all(sum(e in responders for e in members) > len(members) // 2 for members in self.quorum_sets)
 
-    def hear(self, now, elector, message, out):
+    def receive(self, now, elector, message, out):
         """Handles an elector's answer."""
         kind, ballot, *fields = message
         if kind == "refused":
--- a/gannetfront/duties/post.py
+++ b/gannetfront/duties/post.py
@@ -109,7 +109,7 @@
     def hear(self, now, source, message, out):
         kind = message[0]
         if kind in TO_ELECTOR:
-            answer = self.elector.hear(now, source, message)
+            answer = self.elector.receive(now, source, message)
             if answer:
                 out.send(source, answer)
         elif kind == "holds":
@@ -127,7 +127,7 @@
                 )
                 self.candidate.tick(now, self)
         elif source in self.candidate.electors:
-            self.candidate.hear(now, source, message, self)
+            self.candidate.receive(now, source, message, self)
             if self.candidate.immediate_retries and not self.candidate.phase:
                 self.candidate.tick(now, self)
             if self.candidate.reported_token:
@@ -156,9 +156,9 @@
             if to != self.me:
                 out.send(to, message)
                 continue
-            answer = self.elector.hear(now, self.me, message)
+            answer = self.elector.receive(now, self.me, message)
             if answer:
-                self.candidate.hear(now, self.me, answer, self)
+                self.candidate.receive(now, self.me, answer, self)
         events, self.events = self.events, []
         for what, token, fact in events:
             if what == "gained":
--- a/gannetfront/lab/town.py
+++ b/gannetfront/lab/town.py
@@ -52,7 +52,7 @@
         core = self.cores[number]
         core.tick(self.now, Out(self, number))  # its own timer is first: it is long due
         for source, message in self.waiting.pop(number, ()):
-            core.hear(self.now, source, message, Out(self, number))
+            core.receive(self.now, source, message, Out(self, number))
 
     def tick(self, number, core):
         if self.cores[number] is not core or number in self.lost:
@@ -68,7 +68,7 @@
             self.waiting.setdefault(target, []).append((source, message))
             return
         core = self.cores[target]
-        core.hear(self.now, source, message, Out(self, target))
+        core.receive(self.now, source, message, Out(self, target))
         if core.due_at() > self.now:
             self.at(core.due_at(), self.tick_once, target, core)
 
@@ -135,7 +135,7 @@
     """A post with what it asks of its surroundings."""
 
     def __init__(self, post, alive):
-        self.post, self.alive, self.due_at, self.hear = post, alive, post.due_at, post.hear
+        self.post, self.alive, self.due_at, self.receive = post, alive, post.due_at, post.hear
 
     def tick(self, now, out):
         self.post.tick(now, 0.0, self.alive, out)
--- a/gannetfront/members/core.py
+++ b/gannetfront/members/core.py
@@ -185,7 +185,7 @@
 
     # ---- incoming messages ----
 
-    def hear(self, now, source, message, out):
+    def receive(self, now, source, message, out):
         """Handles a message from a member of the roster, in whatever state that member is."""
         kind, seq, about, updates = message
         member = self.members.get(source)
--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -74,7 +74,7 @@
             except wire.Bad as bad:
                 self.dropped[str(bad)] += 1
                 continue
-            self.core.hear(host.now(), source, message, self)
+            self.core.receive(host.now(), source, message, self)
 
     def tell(self):
         """The three things that look alike, as each begins and ends."""
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -276,16 +276,16 @@
         send=lambda elector, message: sent.append(message), gained=lambda token: 1 / 0, lost=lambda why: None
     )
     old, elector = Candidate(1, 5, ["e"], 100.0, 0.0, Jitter(1), 0.0, generation=1), Elector(-1e9, 100.0, 0.0)
-    elector.hear(0.0, 2, ("prepare", (3 * GENERATION + 7, 2, 9)))
+    elector.receive(0.0, 2, ("prepare", (3 * GENERATION + 7, 2, 9)))
     for _ in range(50):
         now = old.due_at()
         old.tick(now, out)
         while sent:
             message = sent.pop(0)
             assert message[1][0] < 2 * GENERATION
-            answer = elector.hear(now, 1, message)
+            answer = elector.receive(now, 1, message)
             if answer:
-                old.hear(now, "e", answer, out)
+                old.receive(now, "e", answer, out)
     assert old.outdated and now > 20 * old.span
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -39,15 +39,15 @@
 
 
 class Lenient(Elector):  # accepts a proposal below its promise
-    def hear(self, now, source, message):
+    def receive(self, now, source, message):
         if message[0] == "propose":
             self.promised = min(self.promised, message[1])
-        return super().hear(now, source, message)
+        return super().receive(now, source, message)
 
 
 class Forgetful(Elector):  # forgets the accepted lease when it makes a new promise
-    def hear(self, now, source, message):
-        answer = super().hear(now, source, message)
+    def receive(self, now, source, message):
+        answer = super().receive(now, source, message)
         if answer and answer[0] == "promise":
             self.accepted = None
             return answer[:2] + (None, None, 0.0)
@@ -55,10 +55,10 @@
 
 
 class Hasty(Elector):  # expires a lease after half its span
-    def hear(self, now, source, message):
+    def receive(self, now, source, message):
         if message[0] == "propose":
             message = (*message[:3], message[3] / 2)
-        return super().hear(now, source, message)
+        return super().receive(now, source, message)
 
 
 class Clockless(Candidate):  # does not allow for clocks of another rate
@@ -66,8 +66,8 @@
 
 
 class AnyBallot(Candidate):  # takes an answer to an earlier attempt for one to this attempt
-    def hear(self, now, elector, message, out):
-        super().hear(now, elector, (message[0], self.ballot, *message[2:]), out)
+    def receive(self, now, elector, message, out):
+        super().receive(now, elector, (message[0], self.ballot, *message[2:]), out)
 
 
 class Greedy(Candidate):  # ignores another holder's lease
@@ -97,7 +97,7 @@
 
 
 class EachVoice(Candidate):  # counts one elector's answer as often as it arrives
-    def hear(self, now, elector, message, out):
+    def receive(self, now, elector, message, out):
         if (
             self.phase == "propose"
             and message[0] == "accepted"
@@ -105,7 +105,7 @@
             and elector in self.responses
         ):
             self.responses[f"{elector} again"] = True
-        super().hear(now, elector, message, out)
+        super().receive(now, elector, message, out)
 
 
 PLANTED = {
@@ -175,12 +175,12 @@
         for _, source, target, message in due:
             clock = self.now * self.rates[target]
             if target in self.electors:
-                answer = self.electors[target].hear(clock, source, message)
+                answer = self.electors[target].receive(clock, source, message)
                 if answer:
                     self.send(source, answer, target)
             elif target not in self.stalled:
                 self.me = target
-                self.candidates[target].hear(clock, source, message, self)
+                self.candidates[target].receive(clock, source, message, self)
         for n, candidate in self.candidates.items():
             if self.random.random() < 0.004:
                 self.stalled ^= {n}
@@ -241,9 +241,9 @@
     def exchange(now):
         while out.sent:
             target, message = out.sent.pop(0)
-            answer = elector.hear(now, 1, message)
+            answer = elector.receive(now, 1, message)
             if answer:
-                candidate.hear(now, target, answer, out)
+                candidate.receive(now, target, answer, out)
 
     candidate.tick(0.0, out)
     exchange(0.0)
