--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -234,7 +234,7 @@
         self.spend(4)
         old = self.candidates[name]
         self.candidates[name] = self.kinds[1](
-            name, old.life + 1, self.names, self.span, self.rate, old.chance, self.clock(name)
+            name, old.life + 1, self.names, self.span, self.rate, old.random, self.clock(name)
         )
 
     def stall(self, name):
@@ -295,7 +295,7 @@
         for n, v in sorted(one.__dict__.items())
         if n
         not in (
-            "chance",
+            "random",
             "electors",
             "quorum_sets",
             "reported_token",
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -84,18 +84,18 @@
 class Candidate:
     """One proxy's proposer for one duty, and the lease while it holds it.
 
-    `electors` are numbers, `previous_electors` those that are being replaced; `chance.random()` spreads
+    `electors` are numbers, `previous_electors` those that are being replaced; `random.random()` spreads
     retries. `out` has the callbacks send(elector, message), gained(token) and lost(why)."""
 
     def __init__(
-        self, me, life, electors, span, rate, chance, now, wants=True, previous_electors=(), generation=0
+        self, me, life, electors, span, rate, random, now, wants=True, previous_electors=(), generation=0
     ):
         self.me, self.life, self.span, self.rate = me, life, span, rate
         self.electors, self.quorum_sets = (
             tuple(dict.fromkeys((*electors, *previous_electors))),
             [s for s in (tuple(electors), tuple(previous_electors)) if s],
         )
-        self.chance, self.wants, self.round, self.ended_token = chance, wants, generation * GENERATION, None
+        self.random, self.wants, self.round, self.ended_token = random, wants, generation * GENERATION, None
         self.generation, self.outdated = generation, False
         self.ballot, self.phase, self.responses, self.phase_started_at = None, None, {}, now
         self.token, self.expires_at, self.next_attempt_at, self.lost_reason, self.failed_attempts = (
@@ -147,7 +147,7 @@
         self.next_attempt_at = (
             now
             + remaining
-            + self.chance.random()
+            + self.random.random()
             * self.answer_timeout()
             * (0.5 if self.token or remaining else 0.25 * 2.0**self.failed_attempts)
         )
