--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -2,10 +2,10 @@
 rounds.
 
 A fence on tokens alone stops an old holder only at proxies that have already seen its successor. Every act
-therefore starts with a fence check: the proxy issues a nonce, valid for PATIENCE ms of its own clock, and the
-holder acts only if its lease lasts longer than that. An act that was delayed for longer (the process stalled
-between check and act, or the stream was cut and has recovered) arrives with an expired nonce, whichever
-proxies the next holder has contacted by then.
+therefore starts with a fence check: the proxy issues a nonce, valid for NONCE_TTL ms of its own clock, and
+the holder acts only if its lease lasts longer than that. An act that was delayed for longer (the process
+stalled between check and act, or the stream was cut and has recovered) arrives with an expired nonce,
+whichever proxies the next holder has contacted by then.
 
 Work is done in steps. Their numbers increase at each proxy, and each step is done once, whoever holds the
 duty; a repeated step is answered "again".
@@ -13,8 +13,8 @@
 
 from .lease import Fence, span_upper_bound
 
-PATIENCE = 200.0  # ms that a nonce is valid
-DOORS = 64  # valid nonces at a time; issuing one more discards the oldest
+NONCE_TTL = 200.0  # ms that a nonce is valid
+MAX_NONCES = 64  # valid nonces at a time; issuing one more discards the oldest
 
 
 class Gate:
@@ -23,26 +23,28 @@
     def __init__(self, step=0, token=None):
         """`step` is the last step done and `token` the one it was done under, as far as persisted before a
         restart."""
-        self.fence, self.step, self.doors, self.last_nonce, self.busy = Fence(), step, {}, 0, False
+        self.fence, self.step, self.nonces, self.last_nonce, self.busy = Fence(), step, {}, 0, False
         if token:
             self.fence.accepts(token)
 
-    def enter(self, now):
+    def issue_nonce(self, now):
         """Issues a nonce: (nonce, highest token, last step done)."""
         self.last_nonce += 1
-        self.doors = dict([*self.doors.items()][1 - DOORS :]) if len(self.doors) >= DOORS else self.doors
-        self.doors[self.last_nonce] = now
+        self.nonces = (
+            dict([*self.nonces.items()][1 - MAX_NONCES :]) if len(self.nonces) >= MAX_NONCES else self.nonces
+        )
+        self.nonces[self.last_nonce] = now
         return self.last_nonce, self.fence.highest, self.step
 
-    def heard(self, token):
+    def observe_token(self, token):
         """Raises the fence to a token that another proxy reported."""
         self.fence.accepts(token)
 
     def act(self, now, nonce, token, step):
         """(outcome, reason). "do": perform the step, then call `done`; "again": it was done before;
         "refused"."""
-        issued_at = self.doors.pop(nonce, None)
-        if issued_at is None or now - issued_at > PATIENCE:
+        issued_at = self.nonces.pop(nonce, None)
+        if issued_at is None or now - issued_at > NONCE_TTL:
             return "refused", "late"
         if not self.fence.accepts(token):
             return "refused", "token"
@@ -64,7 +66,7 @@
 
 def time_to_act(remaining, rate):
     """True where a lease with `remaining` ms left outlasts any nonce, for all clocks within `rate`."""
-    return remaining > span_upper_bound(PATIENCE, rate)
+    return remaining > span_upper_bound(NONCE_TTL, rate)
 
 
 class Rounds:
--- a/gannetfront/duties/shell.py
+++ b/gannetfront/duties/shell.py
@@ -10,7 +10,7 @@
 
 from .. import host
 from ..wire import control_pb2 as c, duties as lease, frames
-from .acts import PATIENCE, Gate, time_to_act
+from .acts import NONCE_TTL, Gate, time_to_act
 from .lease import span_upper_bound
 from .post import Post
 
@@ -133,7 +133,7 @@
         if not time_to_act(self.held.left(), self.held.rate):
             raise Lost()
         doors = self.held.shell.doors.setdefault(self.held.post.name, {})
-        doors[self] = host.now() + span_upper_bound(PATIENCE, self.held.rate)
+        doors[self] = host.now() + span_upper_bound(NONCE_TTL, self.held.rate)
         name, done = self.word(limit, act=c.Act(nonce=self.nonce, token=self.held.token, step=step))
         if name != "done":
             raise frames.BadFrame(f"a {name} for an act's end")
@@ -211,7 +211,7 @@
 
     def gained(self, name, token, state):
         self.counts[name]["held"] += 1
-        self.gates[name].heard(token)
+        self.gates[name].observe_token(token)
         self.log.info("duty held", duty=name, token=token, why=self.posts[name].last)
         self.made[name].hint(self.me)
         if name in self.jobs:
@@ -230,7 +230,7 @@
     def heard(self, name, token):
         gate = self.gates[name]
         if token > gate.fence.highest:
-            gate.heard(token)
+            gate.observe_token(token)
             self.made[name].hint(token[1])
         post = self.posts[name]
         if post.candidate.token is not None and token > post.candidate.token:
@@ -312,7 +312,7 @@
         if message.duty not in self.gates:
             return dict(refusal=c.Refusal(why="no such duty here"))
         stream.duty = message.duty
-        nonce, token, step = self.gates[message.duty].enter(host.now())
+        nonce, token, step = self.gates[message.duty].issue_nonce(host.now())
         return dict(door=c.Door(nonce=nonce, token=[max(0, n) for n in token], step=step))
 
     def act(self, stream, message):
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -9,7 +9,7 @@
 from gannetfront import host
 from gannetfront.audit.duties import judge
 from gannetfront.config import load, schema_pb2 as schema
-from gannetfront.duties.acts import DOORS, PATIENCE, Gate, Rounds
+from gannetfront.duties.acts import MAX_NONCES, NONCE_TTL, Gate, Rounds
 from gannetfront.duties.lease import GENERATION, Candidate, Elector
 from gannetfront.duties.post import Post
 from gannetfront.duties.shell import Duties, Lost
@@ -106,7 +106,7 @@
     gate, old, new = Gate(), (3, 1, 5), (4, 2, 6)
 
     def nonce_at(now):
-        return gate.enter(now)[0]
+        return gate.issue_nonce(now)[0]
 
     assert gate.act(10.0, nonce_at(0.0), old, 1) == ("do", "") and gate.act(10.0, nonce_at(0.0), old, 2) == (
         "refused",
@@ -115,19 +115,19 @@
     gate.done(1)
     assert gate.act(10.0, nonce_at(0.0), old, 1)[0] == "again"
     nonce = nonce_at(20.0)
-    assert gate.act(20.0 + PATIENCE + 1, nonce, old, 2) == ("refused", "late") and gate.act(
+    assert gate.act(20.0 + NONCE_TTL + 1, nonce, old, 2) == ("refused", "late") and gate.act(
         20.0, nonce, old, 2
     ) == ("refused", "late")
-    gate.heard(new)
+    gate.observe_token(new)
     assert gate.act(30.0, nonce_at(30.0), old, 2) == ("refused", "token") and gate.act(
         30.0, nonce_at(30.0), new, 0
     ) == ("refused", "order")
     assert gate.act(30.0, nonce_at(30.0), new, 2) == ("do", "")
     gate.done(2, succeeded=False)
-    assert gate.enter(40.0)[1:] == (new, 1)
-    for _ in range(3 * DOORS):
+    assert gate.issue_nonce(40.0)[1:] == (new, 1)
+    for _ in range(3 * MAX_NONCES):
         nonce_at(50.0)
-    assert len(gate.doors) <= DOORS
+    assert len(gate.nonces) <= MAX_NONCES
 
 
 def test_a_round_ends_everywhere_before_the_next_and_unreachable_proxies_are_skipped():
