--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -75,24 +75,24 @@
 
     Each proxy reports its own last step, so a new holder needs no information from its predecessor."""
 
-    def __init__(self, proxies, interval, floor=0):
-        """`interval` is the ms between rounds. `floor` is a step known to have begun, as the proxy that did
+    def __init__(self, proxies, interval, started_step=0):
+        """`interval` is the ms between rounds. `started_step` is a step known to have begun, as the proxy that did
         it may be unreachable."""
-        self.proxies, self.interval, self.completed, self.round_ended_at, self.floor = (
+        self.proxies, self.interval, self.completed, self.round_ended_at, self.started_step = (
             list(proxies),
             interval,
             {},
             None,
-            floor,
+            started_step,
         )
 
-    def told(self, proxy, step):
+    def record_step(self, proxy, step):
         """Records the last step that a proxy reports."""
         self.completed[proxy] = step
 
     def step(self):
         """The step of the current round: the highest that any proxy has done."""
-        return max([self.floor, *self.completed.values()])
+        return max([self.started_step, *self.completed.values()])
 
     def next(self, now, unreachable):
         """(proxy, step) to be done now, or None. `unreachable` proxies are skipped, not waited for."""
--- a/gannetfront/duties/seal.py
+++ b/gannetfront/duties/seal.py
@@ -67,10 +67,10 @@
         try:
             visit = held.ask(proxy)
             try:
-                rounds.told(proxy, visit.step)
+                rounds.record_step(proxy, visit.step)
                 if step is not None:
                     how, why = visit.act(step, SEAL_TIMEOUT)
-                    rounds.told(proxy, visit.step)
+                    rounds.record_step(proxy, visit.step)
                     if how == "refused":
                         failed_at[proxy] = host.now()
             finally:
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -134,15 +134,15 @@
     rounds = Rounds([0, 1, 2], 100.0)
     assert rounds.next(0.0, ()) is None
     for proxy, step in ((0, 7), (1, 6), (2, 7)):
-        rounds.told(proxy, step)
+        rounds.record_step(proxy, step)
     assert rounds.next(0.0, ()) == (1, 7) and rounds.next(0.0, {1}) is None
-    rounds.told(1, 7)
+    rounds.record_step(1, 7)
     assert rounds.next(50.0, ()) is None and rounds.next(150.0, ()) == (0, 8)
-    rounds.told(0, 8)
+    rounds.record_step(0, 8)
     assert rounds.next(151.0, {1}) == (2, 8)
     # The last holder reported step 9, and the proxy that did it is unreachable.
-    successor = Rounds([0, 1], 100.0, floor=9)
-    successor.told(0, 8)
+    successor = Rounds([0, 1], 100.0, started_step=9)
+    successor.record_step(0, 8)
     assert successor.next(0.0, {1}) == (0, 9)
 
 
