--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -13,7 +13,7 @@
 from ..wire import frames
 from .shell import Duty, Lost
 
-BITS, SITES = 3, 8  # bits of a site's order in a step; sites that fit into a step
+SITE_BITS, MAX_SITES = 3, 8  # bits of a site's order in a step; sites that fit into a step
 ACT_TIMEOUT, ORDER_TIMEOUT = (
     1000.0,
     8000.0,
@@ -21,17 +21,19 @@
 ORDER_BY_VERB = dict(hold=ReturnOrder.HELD_OUT, go=ReturnOrder.LET_IN, free=ReturnOrder.NO_ORDER)
 
 
-def packed(number, orders):
+def pack_step(number, orders):
     """The step with that number; `orders` are in the order of the settings' sites."""
     code = 0
     for index, order in enumerate(orders):
-        code |= order << BITS * index
-    return number << BITS * SITES | code
+        code |= order << SITE_BITS * index
+    return number << SITE_BITS * MAX_SITES | code
 
 
-def unpacked(step, site_count):
+def unpack_step(step, site_count):
     """(number, orders of `site_count` sites)."""
-    return step >> BITS * SITES, [step >> BITS * index & (1 << BITS) - 1 for index in range(site_count)]
+    return step >> SITE_BITS * MAX_SITES, [
+        step >> SITE_BITS * index & (1 << SITE_BITS) - 1 for index in range(site_count)
+    ]
 
 
 class Returning(Duty):
@@ -75,7 +77,7 @@
         self.sites.leading = lambda: held.left() > 0
         while held.left() > 0:
             if number is None:
-                number = max([unpacked(step, 0)[0] for step in self.visit_all(held, None)], default=0)
+                number = max([unpack_step(step, 0)[0] for step in self.visit_all(held, None)], default=0)
             pending, self.pending_orders = self.pending_orders, []
             for name, order, _ in pending:
                 self.sites.shedding.on_orders(host.now(), {name: order})
@@ -84,11 +86,11 @@
                 order_names = {name: order.name for name, order in orders.items()}
                 self.log.info("site return", orders=order_names, states=self.sites.detector.for_dispatches())
             number, last_orders = number + 1, orders
-            step = packed(number, [orders[name] for name in self.site_names])
+            step = pack_step(number, [orders[name] for name in self.site_names])
             steps = self.visit_all(held, step)
             # A proxy may be at a later step, from a holder unknown to this one: the next step's number is
             # above that.
-            number = max([number, *(unpacked(s, 0)[0] for s in steps)])
+            number = max([number, *(unpack_step(s, 0)[0] for s in steps)])
             for _, _, delivered in pending:
                 delivered.set()
             host.sleep(self.interval)
@@ -136,7 +138,7 @@
                 raise OSError("disk did not confirm the write in time") from None
             self.token = token
         self.sites.shedding.on_orders(
-            host.now(), dict(zip(self.site_names, unpacked(step, len(self.site_names))[1]))
+            host.now(), dict(zip(self.site_names, unpack_step(step, len(self.site_names))[1]))
         )
         return True
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -5,7 +5,7 @@
 
 from gannetfront.audit import sites as audit
 from gannetfront.config import load, schema_pb2 as schema
-from gannetfront.duties.returning import SITES, packed, unpacked
+from gannetfront.duties.returning import MAX_SITES, pack_step, unpack_step
 from gannetfront.interface import (
     BACK,
     CANCELLED,
@@ -287,10 +287,10 @@
     assert not shedding.withholds_vote(ON, "") and not shedding.withholds_vote(BACK, "")
 
 
-@given(st.integers(0, 2**30), st.lists(st.integers(0, 7), max_size=SITES))
+@given(st.integers(0, 2**30), st.lists(st.integers(0, 7), max_size=MAX_SITES))
 def test_a_step_carries_an_order_for_each_site_and_rises_with_its_number(number, orders):
-    assert unpacked(packed(number, orders), len(orders)) == (number, orders)
-    assert packed(number + 1, []) > packed(number, orders) < 2**64
+    assert unpack_step(pack_step(number, orders), len(orders)) == (number, orders)
+    assert pack_step(number + 1, []) > pack_step(number, orders) < 2**64
 
 
 # ---- settings, and the judge ----
