--- a/gannetfront/cli/duties.py
+++ b/gannetfront/cli/duties.py
@@ -5,14 +5,14 @@
 import click
 
 from .. import host
-from ..duties.orders import order
+from ..duties.orders import send_order
 from ..wire.frames import BadFrame
 from .common import complain
 
 
 def asked(at, verb, duty="", to=None, about=""):
     try:
-        return order(at, verb, duty, to, 10000.0 if about else 2000.0, about)
+        return send_order(at, verb, duty, to, 10000.0 if about else 2000.0, about)
     except (OSError, host.Refused, host.Timeout, BadFrame, ValueError) as trouble:
         raise SystemExit(complain(f"{at}: no answer: {str(trouble) or 'silent'}")) from None
 
--- a/gannetfront/day/proxies.py
+++ b/gannetfront/day/proxies.py
@@ -9,7 +9,7 @@
 
 from .. import host, records
 from ..audit import duties as audit
-from ..duties.orders import order
+from ..duties.orders import send_order
 from ..faults.relay import Relay
 
 MEMBERS, STREAMS, LIMIT, LEASE = 17946, 17947, 60000.0, 1000  # the ports of each; ms
@@ -196,13 +196,13 @@
         return [e for e in found if event in (None, e["event"])]
 
     def asked(self, n):
-        return order(f"{self.homes[n]}:{STREAMS}", "status")[1]
+        return send_order(f"{self.homes[n]}:{STREAMS}", "status")[1]
 
     def status(self, n):
         return json.loads(self.asked(n))["duties"][0]
 
     def order(self, n, verb, to=None):
-        return order(f"{self.homes[n]}:{STREAMS}", verb, self.of, to)
+        return send_order(f"{self.homes[n]}:{STREAMS}", verb, self.of, to)
 
     def judged(self, **facts):
         verdict = audit.judge(self.rows(), **facts)
--- a/gannetfront/day/strikes.py
+++ b/gannetfront/day/strikes.py
@@ -4,7 +4,7 @@
 import signal
 
 from .. import host
-from ..duties.orders import order
+from ..duties.orders import send_order
 from ..script import HOLDER
 from ..wire.frames import BadFrame
 
@@ -88,7 +88,9 @@
         """Its number, as it says itself; None where nobody does."""
         for n in range(self.day.proxies):
             try:
-                fine, text = order(self.played.net.streams[f"proxy{n}", f"proxy{n}"], "status", limit=300.0)
+                fine, text = send_order(
+                    self.played.net.streams[f"proxy{n}", f"proxy{n}"], "status", limit=300.0
+                )
             except (OSError, host.Refused, host.Timeout, BadFrame):
                 continue
             if fine and any(d["duty"] == duty and d["here"] for d in json.loads(text)["duties"]):
--- a/gannetfront/duties/orders.py
+++ b/gannetfront/duties/orders.py
@@ -4,7 +4,7 @@
 from ..wire import control_pb2 as c, frames
 
 
-def order(address, verb, duty="", to=None, limit=2000.0, about=""):
+def send_order(address, verb, duty="", to=None, limit=2000.0, about=""):
     """Sends one order and returns (succeeded, text). `limit` is the ms for each of connecting, sending and
     receiving.
 
