--- a/gannetfront/members/core.py
+++ b/gannetfront/members/core.py
@@ -15,7 +15,7 @@
 
 ALIVE, SUSPECT, GONE, LEFT = 0, 1, 2, 3  # of two states with the same incarnation the higher one wins
 PING, ACK, PING_REQ, NACK = 0, 1, 2, 3
-NEWS = 12  # updates in a datagram, which stays under 256 bytes with them
+MAX_UPDATES = 12  # updates in a datagram, which stays under 256 bytes with them
 INDIRECT_PROBES = 3  # members that are asked to probe a target that did not answer
 MAX_LOCAL_HEALTH = 8  # Lifeguard's local health score; timeouts are multiplied by 1 + the score
 GONE_PROBE_INTERVAL = 4  # periods between probes of gone members, by which a healed partition is noticed
@@ -26,10 +26,16 @@
 class Member:
     """What is known of one member: its state, and when a message of it arrived last (None: never)."""
 
-    __slots__ = "zone", "state", "incarnation", "state_since", "heard", "confirmers", "transmissions"
+    __slots__ = "zone", "state", "incarnation", "state_since", "last_heard_at", "confirmers", "transmissions"
 
     def __init__(self, zone, now):
-        self.zone, self.state, self.incarnation, self.state_since, self.heard = zone, ALIVE, 0, now, None
+        self.zone, self.state, self.incarnation, self.state_since, self.last_heard_at = (
+            zone,
+            ALIVE,
+            0,
+            now,
+            None,
+        )
         self.confirmers, self.transmissions = (
             set(),
             0,
@@ -46,7 +52,7 @@
     def __init__(self, me, roster, period, random, now):
         self.me, self.period, self.random, self.started_at = me, period, random, now
         self.members = {n: Member(zone, now) for n, zone in sorted(roster.items())}
-        self.members[me].heard = now
+        self.members[me].last_heard_at = now
         self.local_health, self.seq, self.probe_count, self.next_probe_at, self.probe_order = (
             0,
             0,
@@ -65,7 +71,7 @@
 
     # ---- timeouts and limits that follow from the fleet's size ----
 
-    def shortest(self):
+    def minimum_suspicion(self):
         """ms of a suspicion that MAX_CONFIRMATIONS members confirm."""
         return 4.0 * max(1.0, log(max(2, len(self.members)), 10)) * self.period
 
@@ -79,7 +85,7 @@
 
     def suspicion_timeout(self, member):
         """ms until a suspected member is declared gone; it shrinks with each confirmation."""
-        maximum, minimum = MAX_SUSPICION_FACTOR * self.shortest(), self.shortest()
+        maximum, minimum = MAX_SUSPICION_FACTOR * self.minimum_suspicion(), self.minimum_suspicion()
         return max(
             minimum,
             maximum - (maximum - minimum) * log(1 + len(member.confirmers)) / log(1 + MAX_CONFIRMATIONS),
@@ -191,7 +197,7 @@
         member = self.members.get(source)
         if member is None or source == self.me:
             return
-        member.heard = now
+        member.last_heard_at = now
         for number, state, incarnation in updates:
             self.apply_update(now, number, state, incarnation, source, out)
         if kind == PING:
@@ -267,12 +273,12 @@
 
     def send(self, out, to, kind, seq, about):
         """Sends a message with the updates that were sent least often."""
-        picked = sorted(self.updates, key=lambda n: (self.updates[n], n))[:NEWS]
+        picked = sorted(self.updates, key=lambda n: (self.updates[n], n))[:MAX_UPDATES]
         other = self.members[to]
         if other.state != ALIVE and to not in picked:
             # A member that is suspected, or that sends although it is gone, has to learn of it to be
             # candidates to refute it.
-            picked = [to, *picked[: NEWS - 1]]
+            picked = [to, *picked[: MAX_UPDATES - 1]]
         for number in picked:
             if number in self.updates:
                 self.updates[number] += 1
@@ -301,28 +307,28 @@
 
     def by_zone(self, now):
         """{zone: (members alive or suspected, members heard from lately, members)}, without this one."""
-        span, counts = self.shortest() + 2 * self.period, {}
+        span, counts = self.minimum_suspicion() + 2 * self.period, {}
         for number, m in self.members.items():
             if number != self.me:
                 alive, recent, total = counts.get(m.zone, (0, 0, 0))
                 counts[m.zone] = (
                     alive + (m.state in (ALIVE, SUSPECT)),
-                    recent + (m.heard is not None and now - m.heard < span),
+                    recent + (m.last_heard_at is not None and now - m.last_heard_at < span),
                     total + 1,
                 )
         return counts
 
-    def standing(self, now):
+    def connectivity(self, now):
         """Tells apart three failures that look alike, each with its evidence, as a dict.
 
         `gone`: members that are gone while others are heard from. `zones`: {zone: ms} of the other zones that
         nobody was heard from for as long as a suspicion lasts, with the ms since. `alone`: ms since any
         member was heard from, and `unheard`: ms since any member answered although others are heard from
         (this one can receive but not send); None where that is not the case."""
-        span = self.shortest() + 2 * self.period
+        span = self.minimum_suspicion() + 2 * self.period
 
         def age(m):
-            return now - (self.started_at if m.heard is None else m.heard)
+            return now - (self.started_at if m.last_heard_at is None else m.last_heard_at)
 
         others = [m for n, m in self.members.items() if n != self.me]
         contact_age = min(map(age, others), default=0.0)
--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -79,7 +79,7 @@
     def tell(self):
         """The three things that look alike, as each begins and ends."""
         now = host.now()
-        standing = self.core.standing(now)
+        standing = self.core.connectivity(now)
         found = {f"hears nobody of {zone}": ms for zone, ms in standing["zones"].items()}
         found |= {
             what: standing[key]
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -62,7 +62,7 @@
     def tick(self):
         now, heard, standing = host.now(), {}, dict(alone=None, unheard=None)
         if self.membership:
-            heard, standing = self.membership.core.by_zone(now), self.membership.core.standing(now)
+            heard, standing = self.membership.core.by_zone(now), self.membership.core.connectivity(now)
         before = self.stages()
         told, moved, gone = self.monitor.tick(now, self.entries(), heard, standing, self.leading())
         for zone, state, evidence in told:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,7 +10,7 @@
 from gannetfront.config import load, schema_pb2 as schema
 from gannetfront.host import Jitter
 from gannetfront.lab.town import Out, Town
-from gannetfront.members.core import ALIVE, GONE, LEFT, NEWS, SUSPECT
+from gannetfront.members.core import ALIVE, GONE, LEFT, MAX_UPDATES, SUSPECT
 from gannetfront.proxy.members import Membership
 from gannetfront.wire import members as wire
 from rig import Log
@@ -36,7 +36,7 @@
     town.run(10 * PERIOD)
     town.kill(1)
     core = town.cores[0]
-    town.run(many * PERIOD * 2.2 + 2 * 6 * core.shortest() if many < 30 else 60 * PERIOD)
+    town.run(many * PERIOD * 2.2 + 2 * 6 * core.minimum_suspicion() if many < 30 else 60 * PERIOD)
     assert town.agree(gone=[1]) and town.views(1) == {GONE: many - 1}
     assert {n for _, _, n, state in town.seen if state == GONE} == {1}
 
@@ -132,29 +132,29 @@
     north, rest = [0, 3, 6], [1, 2, 4, 5, 7, 8]
     town = Town(zones, faults=[cut(5 * PERIOD, 9e9, north, rest)])
     town.run(60 * PERIOD)
-    standing = town.cores[1].standing(town.now)
+    standing = town.cores[1].connectivity(town.now)
     assert (
         set(standing["zones"]) == {"n"}
         and set(standing["gone"]) == set(north)
         and standing["alone"] is None is standing["unheard"]
     )
-    standing = town.cores[0].standing(town.now)
+    standing = town.cores[0].connectivity(town.now)
     assert set(standing["zones"]) == {"s", "w"} and standing["alone"] is None
     town = Town(zones, faults=[cut(5 * PERIOD, 9e9, [4], [n for n in zones if n != 4])])
     town.run(60 * PERIOD)
-    standing = town.cores[4].standing(town.now)
+    standing = town.cores[4].connectivity(town.now)
     assert standing["alone"] > 40 * PERIOD and not standing["zones"], (
         "a member that hears nobody knows nothing about zones"
     )
-    assert town.cores[1].standing(town.now)["gone"] == [4]
+    assert town.cores[1].connectivity(town.now)["gone"] == [4]
     town = Town(zones, faults=[cut(5 * PERIOD, 9e9, [4], [n for n in zones if n != 4], "there")])
     town.run(60 * PERIOD)
-    standing = town.cores[4].standing(town.now)
+    standing = town.cores[4].connectivity(town.now)
     assert standing["unheard"] > 40 * PERIOD and standing["alone"] is None and not standing["zones"]
     town = Town(zones)
     town.kill(7)
     town.run(60 * PERIOD)
-    standing = town.cores[1].standing(town.now)
+    standing = town.cores[1].connectivity(town.now)
     assert standing == dict(gone=[7], zones={}, alone=None, unheard=None)
 
 
@@ -164,7 +164,7 @@
     st.integers(0, 3),
     st.integers(0, 2**32 - 1),
     st.none() | st.integers(0, 99),
-    st.lists(st.tuples(st.integers(0, 99), st.integers(0, 3), st.integers(0, 2**20)), max_size=NEWS),
+    st.lists(st.tuples(st.integers(0, 99), st.integers(0, 3), st.integers(0, 2**20)), max_size=MAX_UPDATES),
 )
 
 
@@ -226,7 +226,7 @@
         host.sleep(5)
     assert (
         membership.dropped == {"garbage": 2, "fleet": 1, "address": 1, "stranger": 1, "long": 1}
-        and membership.core.members[1].heard is None
+        and membership.core.members[1].last_heard_at is None
     )
     other.send(mine, wire.pack(fleet, 1, (0, 77, None, [])))
     kinds = []
@@ -234,7 +234,7 @@
         data, sender = other.recv(300)
         kinds.append(wire.unpack(fleet, data, [0, 1])[1][0])
         assert sender == mine
-    assert membership.core.members[1].heard is not None
+    assert membership.core.members[1].last_heard_at is not None
     membership.stop()
     for greenlet in greenlets:
         host.stop(greenlet)
