--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -78,13 +78,11 @@
     def __init__(self, proxies, interval, started_step=0):
         """`interval` is the ms between rounds. `started_step` is a step known to have begun, as the proxy that did
         it may be unreachable."""
-        self.proxies, self.interval, self.completed, self.round_ended_at, self.started_step = (
-            list(proxies),
-            interval,
-            {},
-            None,
-            started_step,
-        )
+        self.proxies = list(proxies)
+        self.interval = interval
+        self.completed = {}
+        self.round_ended_at = None
+        self.started_step = started_step
 
     def record_step(self, proxy, step):
         """Records the last step that a proxy reports."""
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -24,10 +24,8 @@
 """
 
 GENERATION = 2**32  # rounds of one generation of electors
-IMMEDIATE_RETRIES, OUTDATED_RETRY_SPANS = (
-    3,
-    10,
-)  # consecutive immediate retries after a hand-over; spans between attempts while the settings are outdated
+IMMEDIATE_RETRIES = 3  # consecutive immediate retries after a hand-over
+OUTDATED_RETRY_SPANS = 10  # spans between attempts while the settings are outdated
 
 
 def span_upper_bound(span, rate):
@@ -47,11 +45,9 @@
     for."""
 
     def __init__(self, now, max_span, rate):
-        self.rate, self.max_span, self.quarantined_until = (
-            rate,
-            max_span,
-            now + span_upper_bound(max_span, rate),
-        )
+        self.rate = rate
+        self.max_span = max_span
+        self.quarantined_until = now + span_upper_bound(max_span, rate)
         self.promised, self.highest, self.accepted = (0, -1, 0), 0, None  # accepted: (number, token, expiry)
 
     def receive(self, now, source, message):
@@ -91,20 +87,16 @@
         self, me, life, electors, span, rate, random, now, wants=True, previous_electors=(), generation=0
     ):
         self.me, self.life, self.span, self.rate = me, life, span, rate
-        self.electors, self.quorum_sets = (
-            tuple(dict.fromkeys((*electors, *previous_electors))),
-            [s for s in (tuple(electors), tuple(previous_electors)) if s],
-        )
+        self.electors = tuple(dict.fromkeys((*electors, *previous_electors)))
+        self.quorum_sets = [s for s in (tuple(electors), tuple(previous_electors)) if s]
         self.random, self.wants, self.round, self.ended_token = random, wants, generation * GENERATION, None
         self.generation, self.outdated = generation, False
         self.ballot, self.phase, self.responses, self.phase_started_at = None, None, {}, now
-        self.token, self.expires_at, self.next_attempt_at, self.lost_reason, self.failed_attempts = (
-            None,
-            now,
-            now,
-            "never held",
-            0,
-        )
+        self.token = None
+        self.expires_at = now
+        self.next_attempt_at = now
+        self.lost_reason = "never held"
+        self.failed_attempts = 0
         self.start_delay = 0.0  # ms added to each attempt, so that preferred candidates go first
         self.immediate_retries = 0  # that remain after a hand-over
         self.reported_token = None  # token of the holder that the electors last reported
@@ -160,12 +152,10 @@
 
     def start_attempt(self, now, out):
         self.round += 1
-        self.ballot, self.phase, self.responses, self.phase_started_at = (
-            (self.round, self.me, self.life),
-            "prepare",
-            {},
-            now,
-        )
+        self.ballot = (self.round, self.me, self.life)
+        self.phase = "prepare"
+        self.responses = {}
+        self.phase_started_at = now
         for elector in self.electors:
             out.send(elector, ("prepare", self.ballot))
 
@@ -226,11 +216,9 @@
             self.reported_token = token
         if self.has_quorum([e for e, remaining in self.responses.items() if remaining <= 0]):
             token = self.holds(now) or self.ballot
-            self.phase, self.responses, self.phase_started_at = (
-                "propose",
-                {},
-                now,
-            )  # the lease counts from here: before any elector accepts
+            self.phase = "propose"
+            self.responses = {}
+            self.phase_started_at = now  # the lease counts from here: before any elector accepts
             self.proposed_token = token
             for elector in self.electors:
                 out.send(elector, ("propose", self.ballot, token, self.span))
@@ -241,11 +229,9 @@
 
     def acquire(self, now, out):
         """A majority has accepted: the lease is gained or renewed, unless it has expired in the meantime."""
-        self.phase, self.failed_attempts, expires_at = (
-            None,
-            0,
-            self.phase_started_at + span_lower_bound(self.span, self.rate),
-        )
+        self.phase = None
+        self.failed_attempts = 0
+        expires_at = self.phase_started_at + span_lower_bound(self.span, self.rate)
         if now >= expires_at:
             return self.abandon_attempt(now, 0.0)
         is_new, self.token, self.expires_at = (
@@ -277,19 +263,11 @@
         """The holder has reported that its lease `token` has ended: that lease no longer blocks this
         candidate, and it tries at once. Returns False for an outdated report."""
         if self.token is None and (self.ended_token is None or token > self.ended_token):
-            (
-                self.ended_token,
-                self.phase,
-                self.failed_attempts,
-                self.next_attempt_at,
-                self.immediate_retries,
-            ) = (
-                token,
-                None,
-                0,
-                now,
-                IMMEDIATE_RETRIES,
-            )
+            self.ended_token = token
+            self.phase = None
+            self.failed_attempts = 0
+            self.next_attempt_at = now
+            self.immediate_retries = IMMEDIATE_RETRIES
             self.observe_round(token[0])
             return True
         return False
--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -14,10 +14,8 @@
 from .shell import Duty, Lost
 
 SITE_BITS, MAX_SITES = 3, 8  # bits of a site's order in a step; sites that fit into a step
-ACT_TIMEOUT, ORDER_TIMEOUT = (
-    1000.0,
-    8000.0,
-)  # ms: for a proxy to acknowledge a step; for an operator's order to be delivered to all proxies
+ACT_TIMEOUT = 1000.0  # ms for a proxy to acknowledge a step
+ORDER_TIMEOUT = 8000.0  # ms for an operator's order to be delivered to all proxies
 ORDER_BY_VERB = dict(hold=ReturnOrder.HELD_OUT, go=ReturnOrder.LET_IN, free=ReturnOrder.NO_ORDER)
 
 
@@ -45,10 +43,8 @@
         """`settings` is the checked Duty, `sites` this proxy's AtProxy, whose plan is acted upon. `file`
         persists the last token."""
         self.interval, self.sites, self.log, self.file, self.token = settings.every, sites, log, file, None
-        self.site_names, self.pending_orders = (
-            list(sites.shedding.ramps),
-            [],
-        )  # pending: [(site, order, Once that is set when the order has been delivered)]
+        self.site_names = list(sites.shedding.ramps)
+        self.pending_orders = []  # [(site, order, Once that is set when the order has been delivered)]
 
     def before(self):
         step, self.token = self.kept(self.file)
--- a/gannetfront/duties/seal.py
+++ b/gannetfront/duties/seal.py
@@ -12,10 +12,8 @@
 from .acts import Rounds
 from .shell import Duty
 
-POLL_INTERVAL, SEAL_TIMEOUT = (
-    200.0,
-    600000.0,
-)  # ms: between polls; for one proxy to seal its trail, while it reports that it is alive
+POLL_INTERVAL = 200.0  # ms between polls
+SEAL_TIMEOUT = 600000.0  # ms for one proxy to seal its trail, while it reports that it is alive
 
 
 class Sealing(Duty):
@@ -26,13 +24,11 @@
     def __init__(self, settings, trail, log):
         """`settings` is the checked Duty. `trail` is this proxy's own, or None where it keeps none: then a
         step does nothing."""
-        self.interval, self.trail, self.log, self.minimum_size, self.max_segments = (
-            settings.every,
-            trail,
-            log,
-            settings.seal_from,
-            settings.seal_keep or None,
-        )
+        self.interval = settings.every
+        self.trail = trail
+        self.log = log
+        self.minimum_size = settings.seal_from
+        self.max_segments = settings.seal_keep or None
         self.step_file, self.rounds = trail and f"{trail.folder}/sealed.step", None
 
     def before(self):
--- a/gannetfront/duties/tenants.py
+++ b/gannetfront/duties/tenants.py
@@ -25,14 +25,12 @@
     def __init__(self, directory, link, streams, log, random):
         """`directory` is a checked Directory and `link` this proxy's own Tenants, which connects to the
         holder. `streams` is {number: address}; `random.random()` spreads the reader's retries."""
-        self.directory, self.link, self.streams, self.log, self.random, self.reader = (
-            directory,
-            link,
-            streams,
-            log,
-            random,
-            None,
-        )
+        self.directory = directory
+        self.link = link
+        self.streams = streams
+        self.log = log
+        self.random = random
+        self.reader = None
 
     def hint(self, holder):
         if holder in self.streams:
--- a/gannetfront/members/core.py
+++ b/gannetfront/members/core.py
@@ -29,17 +29,13 @@
     __slots__ = "zone", "state", "incarnation", "state_since", "last_heard_at", "confirmers", "transmissions"
 
     def __init__(self, zone, now):
-        self.zone, self.state, self.incarnation, self.state_since, self.last_heard_at = (
-            zone,
-            ALIVE,
-            0,
-            now,
-            None,
-        )
-        self.confirmers, self.transmissions = (
-            set(),
-            0,
-        )  # members that confirm a suspicion; times that the update was sent
+        self.zone = zone
+        self.state = ALIVE
+        self.incarnation = 0
+        self.state_since = now
+        self.last_heard_at = None
+        self.confirmers = set()  # members that confirm a suspicion
+        self.transmissions = 0  # times that the update was sent
 
 
 class Members:
@@ -53,19 +49,15 @@
         self.me, self.period, self.random, self.started_at = me, period, random, now
         self.members = {n: Member(zone, now) for n, zone in sorted(roster.items())}
         self.members[me].last_heard_at = now
-        self.local_health, self.seq, self.probe_count, self.next_probe_at, self.probe_order = (
-            0,
-            0,
-            0,
-            now + random.random() * period,
-            [],
-        )
+        self.local_health = 0
+        self.seq = 0
+        self.probe_count = 0
+        self.next_probe_at = now + random.random() * period
+        self.probe_order = []
         self.probe = None  # [target, seq, sent at, indirect probes sent at or None]
-        self.relayed_probes, self.last_ack_at, self.probes_since_ack = (
-            {},
-            None,
-            0,
-        )  # own seq -> (requester, its seq, expiry, target)
+        self.relayed_probes = {}  # own seq -> (requester, its seq, expiry, target)
+        self.last_ack_at = None
+        self.probes_since_ack = 0
         self.leaving, self.suspects = False, set()
         self.updates = {}  # number -> times that its update was sent
 
