--- a/gannetfront/duties/explorer.py
+++ b/gannetfront/duties/explorer.py
@@ -122,7 +122,7 @@
             tuple(picture(x) for x in self.candidates.values()),
             tuple(
                 sorted(
-                    repr((picture(x), of(n), [c.said.get(n) for c in self.candidates.values()]))
+                    repr((picture(x), of(n), [c.responses.get(n) for c in self.candidates.values()]))
                     for n, x in self.electors.items()
                 )
             ),
@@ -192,7 +192,7 @@
             return
         if target in self.candidates:
             return self.told(source, target, message)
-        answer = self.electors[target].hear(self.clock(target), source, message)
+        answer = self.electors[target].receive(self.clock(target), source, message)
         if answer and "answer lost" in how:
             self.spend(0)
         elif answer and "answer late" in how:
@@ -205,15 +205,15 @@
         if target in self.stalled:  # it waits to be read
             self.late += ((source, target, answer),)
         elif answer[0] == "over":
-            self.candidates[target].over(self.clock(target), answer[1])
+            self.candidates[target].lease_ended(self.clock(target), answer[1])
         else:
-            self.candidates[target].hear(self.clock(target), source, answer, Out(self, target))
+            self.candidates[target].receive(self.clock(target), source, answer, Out(self, target))
 
     def comes(self, one):
         self.late = without(self.late, one)
         source, target, message = one
         if target in self.electors:
-            answer = self.electors[target].hear(self.clock(target), source, message)
+            answer = self.electors[target].receive(self.clock(target), source, message)
             if answer:
                 self.told(target, source, answer)
         else:
@@ -223,7 +223,7 @@
         """As the shell does it: the duty is let go, then the successor is told."""
         self.spend(8)
         token = self.candidates[name].token
-        self.candidates[name].let_go(self.clock(name), "handed over", Out(self, name))
+        self.candidates[name].release(self.clock(name), "handed over", Out(self, name))
         self.fresh += ((name, to, ("over", token)),)
 
     def restart(self, name):
@@ -234,7 +234,7 @@
         self.spend(4)
         old = self.candidates[name]
         self.candidates[name] = self.kinds[1](
-            name, old.life + 1, self.names, self.span, self.rate, old.chance, self.clock(name)
+            name, old.life + 1, self.names, self.span, self.rate, old.random, self.clock(name)
         )
 
     def stall(self, name):
@@ -284,8 +284,8 @@
 def clone(one):
     other = object.__new__(type(one))
     other.__dict__.update(one.__dict__)
-    if "said" in other.__dict__:
-        other.said = dict(one.said)
+    if "responses" in other.__dict__:
+        other.responses = dict(one.responses)
     return other
 
 
@@ -293,7 +293,17 @@
     return tuple(
         (n, v)
         for n, v in sorted(one.__dict__.items())
-        if n not in ("chance", "electors", "sets", "seen", "behind", "why", "generation", "said")
+        if n
+        not in (
+            "random",
+            "electors",
+            "quorum_sets",
+            "reported_token",
+            "start_delay",
+            "lost_reason",
+            "generation",
+            "responses",
+        )
     )
 
 
--- a/gannetfront/duties/post.py
+++ b/gannetfront/duties/post.py
@@ -44,7 +44,7 @@
     ):
         self.name, self.me, self.mates, self.span, self.settled_at = name, me, mates, span, now + settle
         self.candidate = Candidate(
-            me, life, electors, span, rate, chance, now, before=before, generation=generation
+            me, life, electors, span, rate, chance, now, previous_electors=before, generation=generation
         )
         self.candidate.wants = False
         # At each proxy, whoever its own settings name: while electors are changed one proxy after the other, the first with the new
@@ -90,8 +90,8 @@
         """`busy` is how much of its room is taken, 0 to 1; `alive` the numbers of those not known to be gone, for the order only."""
         one = self.candidate
         if not one.wants and now >= self.wants_at():
-            one.wants, one.next_try = True, max(one.next_try, now + self.behind(busy, alive))
-        one.behind = self.behind(busy, alive)
+            one.wants, one.next_attempt_at = True, max(one.next_attempt_at, now + self.behind(busy, alive))
+        one.start_delay = self.behind(busy, alive)
         one.tick(now, self)
         if one.token and now >= self.told_at:
             self.tell_some(now)
@@ -109,7 +109,7 @@
     def hear(self, now, source, message, out):
         kind = message[0]
         if kind in TO_ELECTOR:
-            answer = self.elector.hear(now, source, message)
+            answer = self.elector.receive(now, source, message)
             if answer:
                 out.send(source, answer)
         elif kind == "holds":
@@ -118,7 +118,7 @@
                 out.heard(message[1])
         elif kind == "over":
             # Only of its own token can a proxy say so.
-            if message[1][1] == source and not self.leaving and self.candidate.over(now, message[1]):
+            if message[1][1] == source and not self.leaving and self.candidate.lease_ended(now, message[1]):
                 self.handed, self.state, self.candidate.wants, self.kept_off = (
                     f"handed on by {source}: {message[3]}",
                     message[2],
@@ -127,12 +127,12 @@
                 )
                 self.candidate.tick(now, self)
         elif source in self.candidate.electors:
-            self.candidate.hear(now, source, message, self)
-            if self.candidate.pressed and not self.candidate.phase:
+            self.candidate.receive(now, source, message, self)
+            if self.candidate.immediate_retries and not self.candidate.phase:
                 self.candidate.tick(now, self)
-            if self.candidate.seen:
-                self.seen(now, self.candidate.seen)
-                self.candidate.seen = None
+            if self.candidate.reported_token:
+                self.seen(now, self.candidate.reported_token)
+                self.candidate.reported_token = None
         self.flush(now, out)
 
     def seen(self, now, token):
@@ -146,7 +146,7 @@
 
     def refused(self, now, token, out):
         """Whoever was acted upon knows of a higher token than this one's."""
-        self.candidate.refused(now, token, self)
+        self.candidate.superseded(now, token, self)
         self.flush(now, out)
 
     def flush(self, now, out):
@@ -156,9 +156,9 @@
             if to != self.me:
                 out.send(to, message)
                 continue
-            answer = self.elector.hear(now, self.me, message)
+            answer = self.elector.receive(now, self.me, message)
             if answer:
-                self.candidate.hear(now, self.me, answer, self)
+                self.candidate.receive(now, self.me, answer, self)
         events, self.events = self.events, []
         for what, token, fact in events:
             if what == "gained":
@@ -199,7 +199,7 @@
         token = self.candidate.holds(now)
         if token is None:
             return False
-        self.candidate.let_go(now, why, self)
+        self.candidate.release(now, why, self)
         self.candidate.wants, self.kept_off = False, now + KEPT_OFF * self.span
         if to is not None:
             self.way.append((to, ("over", token, state[:STATE], why[:WHY])))
@@ -216,7 +216,7 @@
     # ---- told to whoever asks ----
 
     def status(self, now):
-        token, left = self.candidate.holds(now), self.candidate.until - now
+        token, left = self.candidate.holds(now), self.candidate.expires_at - now
         return dict(
             duty=self.name,
             holder=self.holder and self.holder[1],
--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -74,12 +74,12 @@
             except wire.Bad as bad:
                 self.dropped[str(bad)] += 1
                 continue
-            self.core.hear(host.now(), source, message, self)
+            self.core.receive(host.now(), source, message, self)
 
     def tell(self):
         """The three things that look alike, as each begins and ends."""
         now = host.now()
-        standing = self.core.standing(now)
+        standing = self.core.connectivity(now)
         found = {f"hears nobody of {zone}": ms for zone, ms in standing["zones"].items()}
         found |= {
             what: standing[key]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -335,7 +335,7 @@
             return None  # one of them is not up yet
         return {(t["a"]["held_down"], t["b"]["held_down"], t["a"]["weight"]) for t in told}
 
-    assert ordered("hold", "a", (first + 1) % 5) == (0, "site-return: a: told to all that are there\n")
+    assert ordered("hold", "a", (first + 1) % 5) == (0, "site-return: a: delivered to all live proxies\n")
     five.until(lambda: held_down(*range(5)) == {(True, False, 0.0)}, "all hold a down")
     assert ordered("hold", "moon", first)[0] == 1
     told = CliRunner().invoke(sites, ["status", f"{five.homes[first]}:{STREAMS}"]).output
@@ -410,7 +410,7 @@
         """
 from gannetfront.duties import lease
 lease.Candidate.holds = lambda self, now: self.token
-lease.Candidate.tick = (lambda tick: lambda self, now, out: (setattr(self, "until", max(self.until, now + 1e6)) if self.token else None,
+lease.Candidate.tick = (lambda tick: lambda self, now, out: (setattr(self, "expires_at", max(self.expires_at, now + 1e6)) if self.token else None,
                                                              tick(self, now, out)))(lease.Candidate.tick)
 """,
     ),
@@ -422,7 +422,7 @@
 made = lease.Elector.__init__
 def init(self, now, longest, rate):
     made(self, now, longest, rate)
-    self.quiet_until = now
+    self.quarantined_until = now
 lease.Elector.__init__ = init
 """,
     ),
