--- a/gannetfront/sites/ramp.py
+++ b/gannetfront/sites/ramp.py
@@ -49,14 +49,14 @@
         return RampStage(self) if self <= RampStage.FULL else None
 
 
-OPERATORS_ORDERS = ReturnOrder.LET_IN, ReturnOrder.HELD_OUT
+OPERATOR_ORDERS = ReturnOrder.LET_IN, ReturnOrder.HELD_OUT
 SETTLE_TIME, STAGE_TIME = 2000.0, 1000.0  # ms from recovery to the first stage; between stages
 LED_SETTLE_TIME, LED_STAGE_TIME = 1000.0, 500.0  # ms, the same under a leader
 ORDER_LIFETIME = 4000.0  # ms; then each proxy continues its own ramp from its present stage
 JOIN_TIME = (
     4000.0  # ms from a proxy's start in which it steps down to the ordered stage, as it did not see the loss
 )
-LEAST_OUTCOMES = 8  # of dispatches sent at the present stage, to judge whether the site is overloaded
+MIN_OUTCOMES = 8  # of dispatches sent at the present stage, to judge whether the site is overloaded
 
 
 class Ramp:
@@ -84,7 +84,7 @@
 
     def order_to_give(self, state):
         """The order that this proxy gives as the leader; `state` as in FailureDetector.for_dispatches."""
-        if self.order in OPERATORS_ORDERS:
+        if self.order in OPERATOR_ORDERS:
             return self.order
         return ReturnOrder(self.stage) if state in PRESENT else ReturnOrder.NO_ORDER
 
@@ -134,7 +134,7 @@
     def overloaded(self):
         return (
             self.stage > RampStage.TENTH
-            and self.outcomes >= LEAST_OUTCOMES
+            and self.outcomes >= MIN_OUTCOMES
             and self.late_outcomes > self.outcomes / 2
         )
 
--- a/gannetfront/sites/shedding.py
+++ b/gannetfront/sites/shedding.py
@@ -1,10 +1,11 @@
-"""What a site's loss means for the dispatches of one proxy: where nothing is sent any more, and what is refused first. No I/O.
-
-At the loss the plan says all (plan.py): nothing is agreed upon and nobody is asked. Sites that are away (failure_detector.py) get nothing;
-what the others cannot carry is refused in the plan's order, the same at every proxy, by a share of each operation that moves smoothly.
-How much that is, the plan's figures say at first, scaled by what this proxy is asked for against what they have for it; from then on
-it goes by what comes back: more where answers of the survivors are late, less, slowly, where they are not. A site that is back is let in
-by the stages of its ramp (ramp.py).
+"""Load shedding of one proxy while a site is lost: which sites get no dispatches and what is refused. No I/O.
+
+Each proxy follows the plan (plan.py) by itself, without asking or agreeing with others. Unavailable sites
+(failure_detector.py) get nothing; what the other sites cannot carry is refused in the plan's order, the same
+at every proxy, by a share of each operation that changes smoothly. At first that share follows from the
+plan's figures, scaled by the traffic of this proxy against its planned traffic; then it is corrected by
+feedback: more is refused while the surviving sites answer late, and slowly less while they do not. The
+traffic of a site that has recovered is restored by its ramp (ramp.py).
 """
 
 from collections import Counter, deque
@@ -12,27 +13,28 @@
 from ..interface import CANCELLED, MOOT, ON, RESET, TIMEOUT, UNCONNECTED
 from .ramp import Ramp
 
-WINDOW_TICKS = 16  # over which the traffic is counted
-LEAST_WINDOW_TICKS = WINDOW_TICKS // 2  # from its start, after which a proxy knows what it is asked for
-USUAL_TIME = 60000.0  # ms over which what is usual of capacities follows what is
-USUAL_LEAST = 0.85  # part of each site's capacity that is usable, below which that is not usual
-LOST_IN_PART = 0.6  # part of a site that is usable, below which it counts as lost in part
-LEAST_OUTCOMES = 8  # below which none of them says that the survivors are full
-LATE_SHARE, EASY_SHARE = 0.2, 0.08  # of outcomes: more is refused above the one, less below the other
-INCREASE, DECREASE = 0.08, 0.005  # of the work asked for, at one tick
-MOST_TICKS_UNJUDGED = 4  # after which even few outcomes, or none, are judged
-PACE_OUTCOMES = 50  # over which the usual pace is taken
-IDLE_PACE = 1.2  # times the usual pace, up to which the survivors are idle
-IDLE_FACTOR = 3  # so much quicker less is refused where they are
-MOST_SCALE = 1.1  # of the plan's figures: a busy proxy is not the fleet
-NOTHING = 1e-9  # ms of work a ms
+WINDOW_TICKS = 16  # over which requests are counted
+MIN_WINDOW_TICKS = WINDOW_TICKS // 2  # ticks after the start until the request rate is known
+USUAL_TIME_CONSTANT = 60000.0  # ms; time constant with which the usual capacities follow the present ones
+MIN_USUAL_SHARE = 0.85  # usable part of each site's capacity, below which it is not taken as usual
+PARTLY_LOST_SHARE = 0.6  # usable part of a site, below which it counts as partly lost
+MIN_OUTCOMES = 8  # outcomes needed to judge whether the surviving sites are full
+HIGH_LATE_SHARE, LOW_LATE_SHARE = 0.2, 0.08  # of outcomes: more is refused above, less below
+INCREASE, DECREASE = 0.08, 0.005  # of the requested work, a tick
+MAX_TICKS_UNJUDGED = 4  # then even fewer outcomes, or none, are judged
+LATENCY_OUTCOMES = 50  # outcomes over which the usual latency is averaged
+IDLE_LATENCY = 1.2  # times the usual latency, up to which the surviving sites are idle
+IDLE_FACTOR = 3  # times DECREASE while they are idle
+MOST_SCALE = 1.1  # of the planned traffic: one busy proxy says little of the fleet
+EPSILON = 1e-9  # ms of work a ms
 
 
 class Shedding:
-    """`sites` is a plan's Sites, `operations` their names by index, `planned_work` the work a ms that this proxy is usually asked for,
-    `period` the ms from tick to tick.
+    """Decides what one proxy sends to each site and what it refuses.
 
-    Out: `weights` {site: part of its usual share of dispatches}, `shares` {operation's index: part of it that is refused}."""
+    `sites` is a plan's Sites, `operations` the names of operations by index, `planned_work` the ms of work a
+    ms that this proxy is usually asked for, `period` the ms between ticks. Results: `weights` {site: part of
+    its usual share of dispatches} and `shares` {operation's index: part of it that is refused}."""
 
     def __init__(self, sites, operations, planned_work, period, now):
         self.sites, self.planned_work, self.period = sites, planned_work, period
@@ -42,160 +44,170 @@
         self.refusal_order = [operations.index(name) for name in sites.refusal_order()]
         self.work = [sites.classes[name].work for name in operations]
         self.fleet_work = sum(map(sites.work, sites.traffic.values()))
-        self.usual_odds = None  # {site: its capacity against all the others', with all of them well}
+        self.usual_ratios = None  # {site: its capacity over that of all others} while all are healthy
         self.requests, self.window = Counter(), deque(maxlen=WINDOW_TICKS)
-        self.usual_pace = 0.1
-        self.missing, self.scale, self.need, self.correction, self.shares = False, None, 0.0, 0.0, {}
+        self.usual_latency = 0.1  # of dispatches, as a share of the SLO time
+        self.capacity_missing, self.scale, self.need, self.correction, self.shares = False, None, 0.0, 0.0, {}
         self.judge_from(now)
 
-    # ---- what is seen ----
+    # ---- observations ----
 
     def on_request(self, operation):
+        """Counts a request for the operation, by its index."""
         self.requests[operation] += 1
 
-    def on_outcome(self, site, sent_at, late, pace):
-        """A dispatch ended; `late`: not in time, or turned away as the server was full; `pace`: its time as a share of the SLO time."""
+    def on_outcome(self, site, sent_at, late, latency):
+        """Records the end of a dispatch; `late`: not answered in time, or rejected by a full server;
+        `latency`: its time as a share of the SLO time."""
         if not self.weights.get(site):
             return
         self.ramps[site].on_outcome(sent_at, late)
-        # Of those sent since more was refused last: the ones before say nothing of whether that is enough.
+        # Only dispatches sent after the last increase tell whether that increase was enough.
         if sent_at >= self.judged_from:
             self.outcomes += 1
             self.late_outcomes += late
-            self.paces += pace
-        if not self.missing:
-            self.usual_pace += (pace - self.usual_pace) / PACE_OUTCOMES
+            self.latency_sum += latency
+        if not self.capacity_missing:
+            self.usual_latency += (latency - self.usual_latency) / LATENCY_OUTCOMES
 
     def on_orders(self, now, orders):
-        """The leader of the return says how far each site is let in: {site: ReturnOrder, or its value}."""
+        """Takes the orders of the leader of the return: {site: ReturnOrder or its value}."""
         for site, order in orders.items():
             if site in self.ramps:
                 self.ramps[site].on_order(now, order)
 
     def orders_to_give(self, states):
-        """What this proxy tells all where it leads the return: {site: ReturnOrder}."""
+        """{site: ReturnOrder} that this proxy gives to all as the leader of the return; `states` as for
+        `tick`."""
         return {site: ramp.order_to_give(states.get(site)) for site, ramp in self.ramps.items()}
 
-    # ---- what follows from it ----
+    # ---- decisions ----
 
     def tick(self, now, states, capacities, leading=False):
-        """`states` as FailureDetector.for_dispatches has them; `capacities` {site: of its servers that may be used, as warm as they are};
-        `leading`: this proxy leads the return. True where weights are others now."""
+        """Updates weights and shares; True if weights changed. `states` as in FailureDetector.for_dispatches,
+        `capacities` {site: capacity of its usable servers, as warm as they are}, `leading`: this proxy leads
+        the return."""
         self.window.append(self.requests)
         self.requests = Counter()
         for site, ramp in self.ramps.items():
             ramp.tick(now, states.get(site), leading)
         before = self.weights
         weights = {site: ramp.weight for site, ramp in self.ramps.items()}
-        # Where all of them look lost, it is this proxy that sees wrong, or there is nothing better: all are tried, as before.
+        # If all sites look lost, this proxy is wrong or has no alternative: all are tried, as before.
         self.weights = weights if any(weights.values()) else dict.fromkeys(weights, 1.0)
         self.usable = self.usable_parts(capacities)
         self.update_shares(now)
         return self.weights != before
 
     def usable_parts(self, capacities):
-        """{site: part of its capacity that may be used}: its capacity against the others', beside what that usually is. Capacities are not
-        of the settings' unit, and a rollout has all sites hold more for a while."""
+        """{site: usable part of its capacity}: its capacity relative to the other sites', compared with the
+        usual ratio. Ratios are used because capacities are not in the settings' unit, and because a rollout
+        raises the capacity of all sites for a while."""
         total = sum(capacities.get(site, 0.0) for site in self.ramps)
-        odds = {
-            site: capacities.get(site, 0.0) / max(NOTHING, total - capacities.get(site, 0.0))
+        ratios = {
+            site: capacities.get(site, 0.0) / max(EPSILON, total - capacities.get(site, 0.0))
             for site in self.ramps
         }
-        if self.usual_odds is None:
-            if not all(odds.values()):
-                return dict.fromkeys(self.ramps, 1.0)  # not all have been there yet
-            self.usual_odds = odds
-        if len(odds) == 1:
-            usable = dict.fromkeys(odds, 1.0)
+        if self.usual_ratios is None:
+            if not all(ratios.values()):
+                return dict.fromkeys(self.ramps, 1.0)  # not all sites have been seen yet
+            self.usual_ratios = ratios
+        if len(ratios) == 1:
+            usable = dict.fromkeys(ratios, 1.0)
         else:
-            usable = {site: min(1.0, odds[site] / self.usual_odds[site]) for site in odds}
-        if min(usable.values()) > USUAL_LEAST and min(self.weights.values()) == 1:
-            followed = self.period / USUAL_TIME
-            self.usual_odds = {
-                site: usual + (odds[site] - usual) * followed for site, usual in self.usual_odds.items()
+            usable = {site: min(1.0, ratios[site] / self.usual_ratios[site]) for site in ratios}
+        if min(usable.values()) > MIN_USUAL_SHARE and min(self.weights.values()) == 1:
+            gain = self.period / USUAL_TIME_CONSTANT
+            self.usual_ratios = {
+                site: usual + (ratios[site] - usual) * gain for site, usual in self.usual_ratios.items()
             }
         return usable
 
     def request_rates(self):
-        """{operation's index: asked for a tick}, lately."""
+        """{operation's index: requests a tick}, averaged over the window."""
         total = Counter()
         for requests in self.window:
             total.update(requests)
         return {operation: count / len(self.window) for operation, count in total.items()}
 
     def remaining_work(self):
-        """Work a ms that may be given to the fleet."""
+        """Work, in ms a ms, that the fleet can take now."""
         return sum(
             self.sites.fill * capacity * self.weights[site] * self.usable[site]
             for site, capacity in self.sites.capacity.items()
         )
 
     def update_shares(self, now):
+        """Recomputes the refused share of each operation."""
         rates = self.request_rates()
-        asked_work = sum(rate * self.work[operation] for operation, rate in rates.items())
+        requested_work = sum(rate * self.work[operation] for operation, rate in rates.items())
         self.ticks_unjudged += 1
-        self.update_need(now, asked_work)
+        self.update_need(now, requested_work)
         self.update_correction(now)
-        over, self.shares = (self.need + self.correction) * asked_work, {}
+        excess, self.shares = (self.need + self.correction) * requested_work, {}
         for operation in self.refusal_order:
-            if over <= NOTHING:
+            if excess <= EPSILON:
                 break
-            asked = rates.get(operation, 0.0) * self.work[operation]
-            self.shares[operation] = min(1.0, over / asked) if asked else 1.0
-            over -= self.shares[operation] * asked
-
-    def update_need(self, now, asked_work):
-        """The part of what is asked that the plan refuses."""
-        missing = min(self.weights.values()) < 1 or min(self.usable.values()) < LOST_IN_PART
-        if missing and not self.missing:
+            requested = rates.get(operation, 0.0) * self.work[operation]
+            self.shares[operation] = min(1.0, excess / requested) if requested else 1.0
+            excess -= self.shares[operation] * requested
+
+    def update_need(self, now, requested_work):
+        """Sets `need`, the part of the requested work that the plan refuses."""
+        capacity_missing = min(self.weights.values()) < 1 or min(self.usable.values()) < PARTLY_LOST_SHARE
+        if capacity_missing and not self.capacity_missing:
             self.scale = None
             self.judge_from(now)
-        self.missing = missing
-        if missing and self.scale is None and len(self.window) >= LEAST_WINDOW_TICKS:
-            # By what was asked until now: at a quiet hour nothing need be refused. Of a proxy that has just begun nothing is known of that,
-            # its clients are on their way back: until then by the plan, as at all others (docs/incidents/plan-from-empty-window.md).
-            asked = asked_work / self.period
-            self.scale = min(MOST_SCALE, asked / self.planned_work) if self.planned_work else 1.0
+        self.capacity_missing = capacity_missing
+        if capacity_missing and self.scale is None and len(self.window) >= MIN_WINDOW_TICKS:
+            # By the traffic until the loss: in a quiet hour nothing need be refused. Right after its start a
+            # proxy does not know its traffic, as its clients are still reconnecting: the plan's figures count
+            # until then (docs/incidents/plan-from-empty-window.md).
+            rate = requested_work / self.period
+            self.scale = min(MOST_SCALE, rate / self.planned_work) if self.planned_work else 1.0
         demand = self.fleet_work * (self.scale or 1.0)
-        self.need = max(0.0, 1 - self.remaining_work() / demand) if missing and demand else 0.0
+        self.need = max(0.0, 1 - self.remaining_work() / demand) if capacity_missing and demand else 0.0
 
     def update_correction(self, now):
-        """What is refused beside the plan, by how late the survivors answer."""
-        if not self.missing:
+        """Adjusts the share refused on top of the plan by how late the surviving sites answer."""
+        if not self.capacity_missing:
             towards_zero = min(INCREASE, abs(self.correction))
             self.correction += -towards_zero if self.correction > 0 else towards_zero
-        elif self.outcomes >= LEAST_OUTCOMES or self.ticks_unjudged >= MOST_TICKS_UNJUDGED:
+        elif self.outcomes >= MIN_OUTCOMES or self.ticks_unjudged >= MAX_TICKS_UNJUDGED:
             judge_from = self.judged_from
-            if self.late_outcomes > max(1, LATE_SHARE * self.outcomes):
+            if self.late_outcomes > max(1, HIGH_LATE_SHARE * self.outcomes):
                 self.correction += INCREASE
                 judge_from = now
-            elif self.late_outcomes <= EASY_SHARE * self.outcomes:
-                # By the time that it took to know: who has few answers, as nearly all is refused, must not stay there for it.
-                idle = self.paces <= IDLE_PACE * self.usual_pace * self.outcomes
+            elif self.late_outcomes <= LOW_LATE_SHARE * self.outcomes:
+                # In proportion to the ticks since the last judgement: a proxy that refuses nearly everything
+                # gets few outcomes, and must not keep refusing for that reason.
+                idle = self.latency_sum <= IDLE_LATENCY * self.usual_latency * self.outcomes
                 self.correction -= DECREASE * self.ticks_unjudged * (IDLE_FACTOR if idle else 1)
             self.judge_from(judge_from)
         self.correction = min(1 - self.need, max(-self.need, self.correction))
 
     def judge_from(self, sent_at):
-        """What comes back of what is sent from then on is judged next."""
+        """Starts a new judgement, of dispatches sent at `sent_at` or later."""
         self.outcomes = self.late_outcomes = self.ticks_unjudged = 0
-        self.paces, self.judged_from = 0.0, sent_at
+        self.latency_sum, self.judged_from = 0.0, sent_at
 
-    # ---- asked by the decisions' shell ----
+    # ---- queries of the runner ----
 
-    def refuses(self, operation, draw):
-        """`draw` from 0 to 1."""
-        return draw < self.shares.get(operation, 0.0)
+    def refuses(self, operation, sample):
+        """True if a request is refused; `sample` is a random number from 0 to 1."""
+        return sample < self.shares.get(operation, 0.0)
 
     def status_for_decisions(self, site, status):
-        """How a dispatch that ended so is told to the decisions: silence of a site that is away says nothing of its build, nor of what the
-        others can carry. Whether it may have run is left as it was."""
+        """The status by which the decisions are notified of a dispatch that ended with `status`. No answer
+        from an unavailable site says nothing of its build or of what other sites can carry. Whether the
+        dispatch may have run is preserved."""
         if self.weights.get(site, 1.0):
             return status
         return {TIMEOUT: CANCELLED, RESET: CANCELLED, UNCONNECTED: MOOT}.get(status, status)
 
     def withholds_vote(self, verdict, sites):
-        """True where a vote on a build is not to be cast now; `sites` are those with servers of it. No stage moves on while a site that
-        carries it is not whole; of one that is sent nothing nothing is known, for it or against it."""
+        """True if no vote on a build may be cast now; `sites` are those with servers of it. No stage is
+        promoted while one of them is not fully in use, and a build that is sent no dispatches at all cannot
+        be judged either way."""
         weights = [self.weights.get(site, 1.0) for site in sites]
         return verdict == ON and min(weights, default=1.0) < 1 or bool(weights) and max(weights) == 0
