--- a/gannetfront/sites/plan.py
+++ b/gannetfront/sites/plan.py
@@ -1,18 +1,21 @@
-"""Where a lost site's load goes, what is refused first and how much value remains, worked out before the day. No I/O.
+"""Plans, made in advance, for the loss of sites: where their load goes, what is refused first and how much
+value remains. No I/O.
 
-Static stability: what is decided here needs nothing at the moment of the loss but the knowledge which site it is. The load of what is
-lost goes to the others by headroom, so that all of them fill alike and none falls under it; where prices differ, `lean` lets a part go
-to the cheaper ones first. What does not fit is refused by one order that is the same everywhere: unprotected operations by value
-per work, the least first, then the protected ones, the last named first; only the last of them in part.
+The plans are statically stable: at the moment of a loss a proxy only has to know which site is lost. The load
+of the lost sites goes to the others in proportion to their headroom, so that all of them fill alike and none
+is overloaded; where prices differ, `lean` lets a part go to the cheaper sites first. What does not fit is
+refused in one order that is the same everywhere: first unprotected operations, the least value per work
+first, then protected ones, the last named first. Only the last operation refused is refused in part.
 
-Rates are invocations a second, work ms of a node, capacity ms of work a ms.
+Units: rates are invocations a second, work is ms of a node, capacity is ms of work a ms.
 """
 
 from itertools import combinations
 
 
 class Class:
-    """One operation: what is known of it wherever it is asked for."""
+    """One operation: its work and value for an invocation, and its place among the protected operations or
+    None."""
 
     __slots__ = "name", "work", "value", "protected"
 
@@ -21,7 +24,11 @@
 
 
 class Sites:
-    """`capacity` {zone: ms a ms} · `traffic` {zone: {operation: rate}} · `classes` {operation: Class} · `price(from, to)`."""
+    """The sites and their usual traffic, from which plans are made.
+
+    `capacity` is {zone: ms of work a ms}, `traffic` {zone: {operation: rate}}, `classes` {operation: Class},
+    `price(from, to)` the price of a dispatch between zones as a share of its value, `fill` the part of its
+    capacity to which a site may be filled, `lean` from 0 (by headroom alone) to 1 (cheapest first)."""
 
     def __init__(self, capacity, traffic, classes, price, fill=0.85, lean=0.0):
         self.capacity, self.traffic, self.classes, self.price, self.fill, self.lean = (
@@ -35,7 +42,7 @@
 
     @classmethod
     def of(cls, fleet):
-        """From checked settings; ValueError where they have no sites."""
+        """From checked settings; raises ValueError where they have no sites."""
         if not fleet.site:
             raise ValueError("the fleet's settings have no site")
         protect = list(fleet.protect)
@@ -65,115 +72,137 @@
         )
 
     def work(self, traffic):
-        """Work a ms that traffic {operation: rate} asks for."""
+        """Work, in ms a ms, of the traffic {operation: rate}."""
         return sum(rate * self.classes[op].work for op, rate in traffic.items()) / 1000
 
     def value(self, traffic):
+        """Billed value a second of the traffic {operation: rate}."""
         return sum(rate * self.classes[op].value for op, rate in traffic.items())
 
     def refusal_order(self):
-        """Operations, the first to be refused first."""
+        """Names of operations, in the order in which they are refused."""
 
-        def worth(c):
+        def value_density(c):
             return c.value / c.work if c.work else float("inf")
 
         return [
             c.name
             for c in sorted(
                 self.classes.values(),
-                key=lambda c: (0, worth(c), c.name) if c.protected is None else (1, -c.protected, c.name),
+                key=lambda c: (
+                    (0, value_density(c), c.name) if c.protected is None else (1, -c.protected, c.name)
+                ),
             )
         ]
 
-    def cases(self, most=2):
-        """Every zone, then every pair (and more, up to `most`), as long as one zone remains."""
+    def cases(self, max_lost=2):
+        """Every zone, every pair, and so on up to `max_lost` zones lost together, as long as one zone
+        remains."""
         zones = list(self.capacity)
         return [
-            lost for many in range(1, most + 1) for lost in combinations(zones, many) if len(zones) > many
+            lost
+            for count in range(1, max_lost + 1)
+            for lost in combinations(zones, count)
+            if len(zones) > count
         ]
 
     def without(self, lost):
-        """The plan for the loss of those zones."""
-        left = [z for z in self.capacity if z not in lost]
-        room = {z: self.fill * self.capacity[z] for z in left}
+        """The Plan for the loss of the zones `lost`."""
+        remaining = [z for z in self.capacity if z not in lost]
+        room = {z: self.fill * self.capacity[z] for z in remaining}
         served = {z: dict(ops) for z, ops in self.traffic.items()}
         refused = self.refuse(served, sum(room.values()))
-        kept = self.keep_at_home(served, room, left)
-        return Plan(self, tuple(lost), left, room, served, refused, kept)
+        local = self.local_work(served, room, remaining)
+        return Plan(self, tuple(lost), remaining, room, served, refused, local)
 
     def refuse(self, served, room):
-        """Takes out of `served` what does not fit into `room`; {operation: share of it that is refused}."""
-        over, shares = sum(map(self.work, served.values())) - room, {}
+        """Removes from `served` what does not fit into `room`; returns {operation: refused share}."""
+        excess, shares = sum(map(self.work, served.values())) - room, {}
         for op in self.refusal_order():
-            asked = sum(ops.get(op, 0.0) for ops in served.values()) * self.classes[op].work / 1000
-            if over <= 1e-9 or not asked:
+            requested = sum(ops.get(op, 0.0) for ops in served.values()) * self.classes[op].work / 1000
+            if excess <= 1e-9 or not requested:
                 continue
-            shares[op] = min(1.0, over / asked)
-            over -= shares[op] * asked
-            # The same share in every zone: whoever asks from the lost one is not refused first.
+            shares[op] = min(1.0, excess / requested)
+            excess -= shares[op] * requested
+            # The same share in every zone, so that clients of the lost zone are not refused first.
             for ops in served.values():
                 if op in ops:
                     ops[op] *= 1 - shares[op]
         return shares
 
-    def keep_at_home(self, served, room, left):
-        """{zone: work a ms that it keeps}: what a survivor is asked for by its own clients, up to its room."""
-        return {z: min(self.work(served.get(z, {})), room[z]) for z in left}
+    def local_work(self, served, room, remaining):
+        """{remaining zone: work a ms that it does for its own clients}, up to its room."""
+        return {z: min(self.work(served.get(z, {})), room[z]) for z in remaining}
 
 
 class Plan:
-    """`refused` {operation: share} · `moves` {(from, to): work a ms} · `full` {zone: part of its capacity}."""
-
-    def __init__(self, sites, lost, left, room, served, refused, kept):
-        self.sites, self.lost, self.left, self.served, self.refused = sites, lost, left, served, refused
-        away = {z: sites.work(ops) - kept.get(z, 0.0) for z, ops in served.items()}
-        self.moves = self.spread(
-            {z: w for z, w in away.items() if w > 1e-9}, {z: room[z] - kept[z] for z in left}
+    """What happens when the zones `lost` are lost.
+
+    `refused` is {operation: share}, `moves` {(from, to): work a ms}, `full` {zone: part of its capacity in
+    use} and `value` the share of the usual value that remains."""
+
+    def __init__(self, sites, lost, remaining, room, served, refused, local):
+        self.sites, self.lost, self.remaining, self.served, self.refused = (
+            sites,
+            lost,
+            remaining,
+            served,
+            refused,
         )
-        taken = {z: sum(w for (_, to), w in self.moves.items() if to == z) for z in left}
-        self.full = {z: (kept[z] + taken[z]) / sites.capacity[z] if sites.capacity[z] else 0.0 for z in left}
-        asked = sum(map(sites.value, sites.traffic.values()))
-        self.value = sum(map(sites.value, served.values())) / asked if asked else 1.0
+        remote = {z: sites.work(ops) - local.get(z, 0.0) for z, ops in served.items()}
+        self.moves = self.distribute(
+            {z: w for z, w in remote.items() if w > 1e-9}, {z: room[z] - local[z] for z in remaining}
+        )
+        received = {z: sum(w for (_, to), w in self.moves.items() if to == z) for z in remaining}
+        self.full = {
+            z: (local[z] + received[z]) / sites.capacity[z] if sites.capacity[z] else 0.0 for z in remaining
+        }
+        usual_value = sum(map(sites.value, sites.traffic.values()))
+        self.value = sum(map(sites.value, served.values())) / usual_value if usual_value else 1.0
 
-    def spread(self, away, headroom):
-        total, room = sum(away.values()), sum(headroom.values())
+    def distribute(self, remote, headroom):
+        """{(from, to): work a ms} that distributes the work `remote` {zone: work a ms} over `headroom` {zone:
+        work a ms}."""
+        total, room = sum(remote.values()), sum(headroom.values())
         if total <= 0 or room <= 0:
             return {}
-        # Each may take this part of its headroom: all alike, or more where it is cheaper, as far as it may lean.
+        # Part of its headroom that each zone may take: the same for all, or in cheaper zones more, up to
+        # `lean`.
         part = max(min(1.0, total / room), self.sites.lean)
-        space, left, moves = {z: part * h for z, h in headroom.items()}, dict(away), {}
+        free, unplaced, moves = {z: part * h for z, h in headroom.items()}, dict(remote), {}
         if part <= total / room + 1e-12:
             return {
                 (a, b): w * headroom[b] / room
-                for a, w in away.items()
+                for a, w in remote.items()
                 for b in headroom
                 if a != b and headroom[b] > 0
             }
         for a, b in sorted(
-            ((a, b) for a in away for b in headroom if a != b), key=lambda ab: (self.sites.price(*ab), ab)
+            ((a, b) for a in remote for b in headroom if a != b), key=lambda ab: (self.sites.price(*ab), ab)
         ):
-            moved = min(left[a], space[b])
+            moved = min(unplaced[a], free[b])
             if moved > 1e-12:
                 moves[a, b] = moved
-                left[a] -= moved
-                space[b] -= moved
+                unplaced[a] -= moved
+                free[b] -= moved
         return moves
 
     def shares(self):
-        """{from: {to: share of what leaves it}}: what a router needs of the plan."""
-        found = {}
+        """{from: {to: share of the work that leaves `from`}}, as a router needs it."""
+        work_from = {}
         for (a, b), work in self.moves.items():
-            found.setdefault(a, {})[b] = work
-        return {a: {b: w / sum(row.values()) for b, w in row.items()} for a, row in found.items()}
+            work_from.setdefault(a, {})[b] = work
+        return {a: {b: w / sum(row.values()) for b, w in row.items()} for a, row in work_from.items()}
 
     def price(self):
-        """Paid for going to other zones, as a share of all value asked for."""
-        asked, paid = sum(map(self.sites.value, self.sites.traffic.values())), 0.0
+        """Price paid for dispatches to other zones, as a share of the usual value."""
+        usual_value, paid = sum(map(self.sites.value, self.sites.traffic.values())), 0.0
         for (a, b), work in self.moves.items():
             ops = self.served[a]
             all_work = self.sites.work(ops)
             paid += self.sites.value(ops) * work / all_work * self.sites.price(a, b) if all_work else 0.0
-        return paid / asked if asked else 0.0
+        return paid / usual_value if usual_value else 0.0
 
     def protected_refused(self, protect):
+        """{operation: refused share} of the operations `protect` that are refused at all."""
         return {op: self.refused[op] for op in protect if self.refused.get(op, 0.0) > 1e-9}
