--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -1,6 +1,8 @@
-"""What one proxy sees of sites and what follows, over its node list, without I/O: the same text at a proxy and in virtual time.
+"""Monitors the sites of one proxy's node list and adapts what the decisions are given. No I/O: the same code
+runs at a proxy and in simulation.
 
-Entries are those of the list (interface.py's `listed`): (address, zone, build, kind, cell, state, capacity, start).
+Entries are those of the node list (interface.py's `listed`): (address, zone, build, kind, cell, state,
+capacity, start).
 """
 
 from ..interface import (
@@ -20,48 +22,59 @@
 from .failure_detector import AWAY, FailureDetector
 
 TICK = 250.0  # ms between ticks
-OVERDUE = 250.0  # ms without an answer, after which nodes of that zone are asked whether they are there
-PROBES = 2  # nodes of a zone that are asked at a tick
-SAID_AGAIN = (
-    1000.0  # ms from one word that a stage is to wait to the next: one that is lost, or old, says nothing
-)
-LATE = 0.5  # of the SLO time: an answer later than that says that a node is full
-SILENT = TIMEOUT, UNCONNECTED, RESET  # no answer came
+OVERDUE = 250.0  # ms that a dispatch has no answer, after which nodes of its zone are probed
+PROBES = 2  # nodes of a zone that are probed at a tick
+HOLD_INTERVAL = 1000.0  # ms between votes to hold a stage: votes can be lost, and they expire
+LATE_SHARE = 0.5  # of the SLO time; a later answer indicates an overloaded node
+UNANSWERED = TIMEOUT, UNCONNECTED, RESET  # statuses of dispatches without an answer
 
 
 class Monitor:
-    """`names` are zones in the order of the settings, `mine` this proxy's; a node begins with `cold_share` of its capacity and has all
-    of it after `warm_within` ms; `shedding` a Shedding where the plan is acted upon, else None: then it only tells."""
+    """Site monitor of one proxy.
+
+    `names` are zones in the order of the settings, `mine` this proxy's own. A node starts with `cold_share`
+    of its capacity and has all of it after `warm_within` ms. `shedding` is a Shedding if the plan is acted
+    upon, else None: states are only reported then."""
 
     def __init__(self, names, mine, cold_share, warm_within, shedding=None):
         self.names, self.shedding, self.detector = names, shedding, FailureDetector(names, mine)
         self.cold_share, self.warm_within = cold_share, warm_within
-        self.waits, self.said_at = None, -1e18  # (stage, build) that is to wait for a site, as said last
+        self.held_stage, self.hold_sent_at = (
+            None,
+            -1e18,
+        )  # (stage, build) of the last vote to hold, and its time
 
     def zone_of(self, entry):
+        """Name of the entry's zone, or "" for None or an unknown zone."""
         return self.names[entry[1]] if entry and entry[1] < len(self.names) else ""
 
     def warm(self, now, entry):
-        """Part of its capacity that a node has by now, 0 to 1."""
+        """Part of its capacity, 0 to 1, that a node has reached since its start."""
         if not entry[7] or not self.warm_within:
             return 1.0
         return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, now - entry[7]) / self.warm_within)
 
-    # ---- what is seen ----
+    # ---- observations ----
 
     def on_outcome(self, now, entry, status, took, slo_time):
-        """How a dispatch to that node ended; `entry` is None for one that is not listed any more."""
+        """Records how a dispatch to a node ended, after `took` ms; `entry` is None for a node that is no
+        longer listed."""
         zone = self.zone_of(entry)
         if zone and status not in (MOOT, CANCELLED):
-            self.detector.on_outcome(now, zone, entry[0], status not in SILENT, took)
+            self.detector.on_outcome(now, zone, entry[0], status not in UNANSWERED, took)
             if self.shedding:
                 self.shedding.on_outcome(
-                    zone, now - took, status in (TIMEOUT, FULL) or took > LATE * slo_time, took / slo_time
+                    zone,
+                    now - took,
+                    status in (TIMEOUT, FULL) or took > LATE_SHARE * slo_time,
+                    took / slo_time,
                 )
 
     def tick(self, now, entries, heard, standing, leading=False):
-        """([(zone, state, evidence)] that are others now, whether weights are, zones that get nothing from now on)."""
-        ready, every, capacities = (
+        """Returns ([(zone, state, evidence)] of changed states, whether weights changed, zones that get no
+        dispatches from now on). `heard` and `standing` as in FailureDetector.tick, `leading`: this proxy
+        leads the return."""
+        ready, totals, capacities = (
             {name: [] for name in self.names},
             dict.fromkeys(self.names, 0),
             dict.fromkeys(self.names, 0.0),
@@ -69,88 +82,94 @@
         for entry in entries:
             zone = self.zone_of(entry)
             if zone:
-                every[zone] += 1
+                totals[zone] += 1
             if zone and entry[5] == READY:
                 ready[zone].append(entry[0])
                 capacities[zone] += entry[6] * self.warm(now, entry)
-        counts = {name: (len(ready[name]), every[name]) for name in self.names}
+        counts = {name: (len(ready[name]), totals[name]) for name in self.names}
         renewed = [zone for zone in self.names if self.detector.renewed(zone, ready[zone])]
-        told = [
+        changes = [
             (zone, self.detector.zones[zone].state, self.detector.zones[zone].evidence) for zone in renewed
         ]
-        told += self.detector.tick(now, heard, standing, counts)
+        changes += self.detector.tick(now, heard, standing, counts)
         if not self.shedding:
-            return told, False, set()
+            return changes, False, set()
         capacities = {
             zone: capacity * (1 - self.detector.zones[zone].unresponsive)
             for zone, capacity in capacities.items()
         }
         before = self.shedding.weights
-        moved = self.shedding.tick(now, self.detector.for_dispatches(), capacities, leading)
+        weights_changed = self.shedding.tick(now, self.detector.for_dispatches(), capacities, leading)
         return (
-            told,
-            moved,
+            changes,
+            weights_changed,
             {zone for zone, weight in self.shedding.weights.items() if before[zone] and not weight},
         )
 
-    # ---- what follows ----
+    # ---- decisions ----
 
     def entries_for_decisions(self, entries):
-        """A list as the decisions are to have it: nothing new goes where nothing is sent, and less where a zone is let in again."""
+        """The list for the decisions: nodes of a zone without traffic are draining, and on a ramp capacities
+        are scaled down."""
         if not self.shedding or min(self.shedding.weights.values()) == 1.0:
             return tuple(entries)
-        found = []
+        adapted = []
         for entry in entries:
             weight = self.shedding.weights.get(self.zone_of(entry), 1.0)
             state = DRAINING if not weight and entry[5] == READY else entry[5]
-            found.append(
+            adapted.append(
                 entry if weight == 1.0 else (*entry[:5], state, entry[6] * (weight or 1.0), entry[7])
             )
-        return tuple(found)
+        return tuple(adapted)
 
     def status_for_decisions(self, entry, status):
-        """How the outcome of a dispatch is told to the decisions."""
+        """The status by which the decisions are notified of a dispatch's outcome."""
         return self.shedding.status_for_decisions(self.zone_of(entry), status)
 
-    def withholds_vote(self, verdict, ver, entries):
-        """True where a vote on that build is not to be cast now."""
+    def withholds_vote(self, verdict, version, entries):
+        """True if no vote on the build `version` may be cast now."""
         return self.shedding.withholds_vote(
-            verdict, {self.zone_of(entry) for entry in entries if entry[2] == ver}
+            verdict, {self.zone_of(entry) for entry in entries if entry[2] == version}
         )
 
-    def stage_vote(self, now, stage, ver, phase, entries):
-        """(stage, build, verdict) to be said now about the trial under way, or None. Votes 'on' cast before a loss stand for seconds, and
-        so do those of who is away: they must not move a stage over it."""
-        if phase == TRIAL and self.withholds_vote(ON, ver, entries):
-            if (stage, ver) == self.waits and now < self.said_at + SAID_AGAIN:
+    def stage_vote(self, now, stage, version, phase, entries):
+        """(stage, build, verdict) to vote now on the trial under way, or None. Votes 'on' cast before a loss,
+        also those of proxies that cannot be reached now, stay valid for seconds: without a vote to hold they
+        would promote the stage in spite of the loss."""
+        if phase == TRIAL and self.withholds_vote(ON, version, entries):
+            if (stage, version) == self.held_stage and now < self.hold_sent_at + HOLD_INTERVAL:
                 return None
-            self.waits, self.said_at = (stage, ver), now
-            return stage, ver, HOLD
-        before, self.waits = self.waits, None
-        return (*before, NO_VOTE) if before == (stage, ver) and phase == TRIAL else None
+            self.held_stage, self.hold_sent_at = (stage, version), now
+            return stage, version, HOLD
+        before, self.held_stage = self.held_stage, None
+        return (*before, NO_VOTE) if before == (stage, version) and phase == TRIAL else None
 
     def orders_to_give(self):
-        """What the holder of the return tells all."""
+        """{site: ReturnOrder} that this proxy gives as the leader of the return."""
         return self.shedding.orders_to_give(self.detector.for_dispatches())
 
-    def to_probe(self, now, entries, out, draw):
-        """[(zone, address)] of nodes that are to be asked whether they are there: of zones of which nothing will be heard by itself, as
-        they are sent nothing, or what is `out` there [(entry, since)] is overdue."""
-        some = {zone for zone, one in self.shedding.ramps.items() if not one.stage}
-        some |= {self.zone_of(entry) for entry, since in out if entry and now - since > OVERDUE}
-        found = []
+    def to_probe(self, now, entries, in_flight, random):
+        """[(zone, address)] of nodes to probe, of zones that are sent no dispatches or have an overdue one.
+        `in_flight` is [(entry, start time)] of dispatches without an outcome yet, `random()` a number from 0
+        to 1."""
+        zones = {zone for zone, ramp in self.shedding.ramps.items() if not ramp.stage}
+        zones |= {self.zone_of(entry) for entry, since in in_flight if entry and now - since > OVERDUE}
+        targets = []
         for zone in self.names:
-            there = (
+            addresses = (
                 [entry[0] for entry in entries if entry[5] == READY and self.zone_of(entry) == zone]
-                if zone in some
+                if zone in zones
                 else []
             )
-            found += [(zone, there[int(draw() * len(there))]) for _ in range(min(PROBES, len(there)))]
-        return found
+            targets += [
+                (zone, addresses[int(random() * len(addresses))]) for _ in range(min(PROBES, len(addresses)))
+            ]
+        return targets
 
-    def on_probe(self, now, zone, address, fine, took):
-        self.detector.on_outcome(now, zone, address, fine, took)
+    def on_probe(self, now, zone, address, answered, took):
+        """Records whether a probe was answered, after `took` ms."""
+        self.detector.on_outcome(now, zone, address, answered, took)
 
     def away(self):
-        """{zone: taken for lost, cut off or silent}."""
+        """{zone: whether it is unavailable}."""
         return {name: zone.state in AWAY for name, zone in self.detector.zones.items()}
