--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -1,5 +1,7 @@
-"""The loss of a site at one proxy: what it sees goes to the cores (sites/monitor.py), what they say goes to the decisions as lists and to
-clients as refusals. Nodes that answer nothing are asked whether they are there."""
+"""Site monitoring at one proxy: feeds the monitor (sites/monitor.py) and applies what it decides, by changed
+lists for the decisions, refusals to clients, votes and cancelled dispatches. Probes the nodes of zones that
+do not respond.
+"""
 
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
@@ -10,28 +12,36 @@
 from ..sites.shedding import Shedding
 from ..wire import BadAnswer, http
 
-PROBE_LIMIT = 250.0  # ms for a node's answer
-AWAY_WHY = b"a site is lost and what is left has no room for this"
+PROBE_TIMEOUT = 250.0  # ms to connect, and to send; twice that for the whole probe
+REFUSAL_REASON = b"a site is lost and what is left has no room for this"
 
 
 def planned(sites, mine, fleet):
-    """Work a ms that this proxy is usually asked for: its part of what its zone's clients ask for."""
+    """Work, in ms a ms, that this proxy is usually asked for: an even part of its zone's traffic."""
     zone = mine.zone or fleet.zone[0]
-    mates = sum(m.zone == zone for m in mine.mate) or max(1.0, fleet.proxies / len(fleet.zone))
-    return sites.work(sites.traffic.get(zone, {})) / mates
+    zone_proxies = sum(m.zone == zone for m in mine.mate) or max(1.0, fleet.proxies / len(fleet.zone))
+    return sites.work(sites.traffic.get(zone, {})) / zone_proxies
 
 
 class AtProxy:
-    """`kept` is the list held, `rounds` the round loop, `membership` the Membership or None."""
-
-    def __init__(self, fleet, mine, facts, rounds, kept, membership, log, chance):
-        self.rounds, self.kept, self.membership, self.log, self.chance = rounds, kept, membership, log, chance
-        self.slo_times, self.ops, self.shedding = (
+    """Site monitoring of one proxy: `node_list` is its node list, `rounds` the round loop, `membership` the
+    Membership or None, `random` a random generator. `leading()` is true while this proxy leads the return;
+    `staged()` is the last stage received."""
+
+    def __init__(self, fleet, mine, facts, rounds, node_list, membership, log, random):
+        self.rounds, self.node_list, self.membership, self.log, self.random = (
+            rounds,
+            node_list,
+            membership,
+            log,
+            random,
+        )
+        self.slo_times, self.operation_names, self.shedding = (
             [o.slo_time for o in facts.operations],
             [o.name for o in fleet.operation],
             None,
         )
-        self.leading, self.refused, self.longest, self.probe_path = (
+        self.leading, self.refused, self.retry_advice, self.probe_path = (
             lambda: False,
             0,
             facts.retry_advice,
@@ -39,9 +49,11 @@
         )
         if fleet.site_acts:
             sites = Sites.of(fleet)
-            self.shedding = Shedding(sites, self.ops, planned(sites, mine, fleet), TICK, host.now())
+            self.shedding = Shedding(
+                sites, self.operation_names, planned(sites, mine, fleet), TICK, host.now()
+            )
             rounds.turned_away, rounds.told_as, rounds.holds = self.turned_away, self.told_as, self.holds
-        self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as told last
+        self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as last received
         self.monitor = Monitor(
             list(fleet.zone), mine.zone or fleet.zone[0], facts.cold_share, facts.warm_within, self.shedding
         )
@@ -50,75 +62,92 @@
         self.orders_to_give = self.monitor.orders_to_give
 
     def entries(self):
-        return [entry for entry, _ in self.kept.nodes.values()]
+        """All entries of the node list."""
+        return [entry for entry, _ in self.node_list.nodes.values()]
 
-    def entry(self, addr):
-        return self.kept.nodes[addr][0] if addr in self.kept.nodes else None
+    def entry(self, address):
+        """The list's entry of a node, or None."""
+        return self.node_list.nodes[address][0] if address in self.node_list.nodes else None
 
-    def on_outcome(self, addr, op, status, took):
-        """How a dispatch ended."""
-        self.monitor.on_outcome(host.now(), self.entry(addr), status, took, self.slo_times[op])
+    def on_outcome(self, address, operation, status, took):
+        """Records how a dispatch ended, after `took` ms."""
+        self.monitor.on_outcome(host.now(), self.entry(address), status, took, self.slo_times[operation])
 
     def tick(self):
+        """Logs changed states, votes on the trial if need be, and applies changed weights."""
         now, heard, standing = host.now(), {}, dict(alone=None, unheard=None)
         if self.membership:
             heard, standing = self.membership.core.by_zone(now), self.membership.core.standing(now)
         before = self.stages()
-        told, moved, gone = self.monitor.tick(now, self.entries(), heard, standing, self.leading())
-        for zone, state, evidence in told:
+        changes, weights_changed, stopped = self.monitor.tick(
+            now, self.entries(), heard, standing, self.leading()
+        )
+        for zone, state, evidence in changes:
             self.log.warning("zone", zone=zone, state=state, evidence=evidence)
-        told = self.staged()
-        word = (
-            self.shedding and told and self.monitor.stage_vote(now, told[1], told[5], told[6], self.entries())
+        last_stage = self.staged()
+        pending_vote = (
+            self.shedding
+            and last_stage
+            and self.monitor.stage_vote(now, last_stage[1], last_stage[5], last_stage[6], self.entries())
         )
-        if word:
+        if pending_vote:
             self.rounds.link.vote(
-                *word, "a site that carries it is not whole" if word[2] == HOLD else "its sites are whole"
+                *pending_vote,
+                "a site that carries it is not whole" if pending_vote[2] == HOLD else "its sites are whole",
             )
-        if not moved:
+        if not weights_changed:
             return
         self.log.warning("site weights", weights=self.shedding.weights, before=before, refused=self.shares())
         self.rounds.tell("listed", "changes", self.entries_for_decisions(self.entries()))
         for flight in list(self.rounds.flights.values()):
-            # Nobody answers there: what may run again elsewhere goes there now, of the rest its client hears now.
-            if self.monitor.zone_of(self.entry(flight.addr)) in gone:
+            # No answer is expected: what may be retried goes to another zone now, clients of the rest are
+            # answered now.
+            if self.monitor.zone_of(self.entry(flight.addr)) in stopped:
                 flight.stop.set()
 
     def stages(self):
+        """{site: name of its ramp's stage}, for the log."""
         return {name: ramp.stage.name for name, ramp in self.shedding.ramps.items()} if self.shedding else {}
 
     def shares(self):
-        return {self.ops[op]: round(share, 3) for op, share in self.shedding.shares.items()}
-
-    # ---- asked by the round loop ----
-
-    def turned_away(self, op):
-        """(why, ms until a client may come back) for what is refused now, or None."""
-        self.shedding.on_request(op)
-        if not self.shedding.refuses(op, self.chance.random()):
+        """{operation: refused share}, for the log and the status."""
+        return {
+            self.operation_names[operation]: round(share, 3)
+            for operation, share in self.shedding.shares.items()
+        }
+
+    # ---- queries of the round loop ----
+
+    def turned_away(self, operation):
+        """(reason, ms until the client may retry) if the request is refused, else None."""
+        self.shedding.on_request(operation)
+        if not self.shedding.refuses(operation, self.random.random()):
             return None
         self.refused += 1
-        # The longest that clients heed, spread: it is seconds at the least until the site is back.
-        return AWAY_WHY, self.longest * (0.5 + 0.5 * self.chance.random())
+        # Half to all of the longest advice, at random: a site takes seconds at least to recover.
+        return REFUSAL_REASON, self.retry_advice * (0.5 + 0.5 * self.random.random())
 
-    def told_as(self, addr, status):
-        return self.monitor.status_for_decisions(self.entry(addr), status)
+    def told_as(self, address, status):
+        """The status by which the decisions are notified of a dispatch's outcome."""
+        return self.monitor.status_for_decisions(self.entry(address), status)
 
-    def holds(self, verdict, ver):
-        return self.monitor.withholds_vote(verdict, ver, self.entries())
+    def holds(self, verdict, version):
+        """True if no vote on the build `version` may be cast now."""
+        return self.monitor.withholds_vote(verdict, version, self.entries())
 
     # ---- greenlets ----
 
     def probes(self):
-        out = [(self.entry(flight.addr), flight.begun) for flight in self.rounds.flights.values()]
-        for zone, addr in self.monitor.to_probe(host.now(), self.entries(), out, self.chance.random):
-            host.spawn(self.probe, zone, addr)
-
-    def probe(self, zone, addr):
-        """Asks a node, beside its queue, whether it is there: any answer says so."""
-        begun, stream, fine = host.now(), None, False
+        """Starts the probes that are due."""
+        in_flight = [(self.entry(flight.addr), flight.begun) for flight in self.rounds.flights.values()]
+        for zone, address in self.monitor.to_probe(host.now(), self.entries(), in_flight, self.random.random):
+            host.spawn(self.probe, zone, address)
+
+    def probe(self, zone, address):
+        """Sends a node a request that it answers outside its queue. Any whole answer counts."""
+        started, stream, answered = host.now(), None, False
         try:
-            stream, reader = host.connect(addr, PROBE_LIMIT), http.AnswerReader(1 << 16)
+            stream, reader = host.connect(address, PROBE_TIMEOUT), http.AnswerReader(1 << 16)
             stream.send(
                 http.request(
                     self.probe_path,
@@ -127,24 +156,24 @@
                     b"",
                     b"GET",
                 ),
-                PROBE_LIMIT,
+                PROBE_TIMEOUT,
             )
             while not reader.whole:
-                data = stream.recv(4096, max(1.0, begun + 2 * PROBE_LIMIT - host.now()))
+                data = stream.recv(4096, max(1.0, started + 2 * PROBE_TIMEOUT - host.now()))
                 reader.feed(data)
                 if not data:
                     break
-            fine = reader.whole
+            answered = reader.whole
         except (OSError, host.Refused, host.Timeout, BadAnswer):
             pass
         finally:
             if stream:
                 stream.close()
-        self.monitor.on_probe(host.now(), zone, addr, fine, host.now() - begun)
+        self.monitor.on_probe(host.now(), zone, address, answered, host.now() - started)
 
     def run(self):
-        """Not in step with other proxies: each begins at a moment of its own."""
-        host.sleep(TICK * self.chance.random())
+        """Probes and ticks for ever; starts at a random time, so as not to run in step with other proxies."""
+        host.sleep(TICK * self.random.random())
         while True:
             if self.shedding:
                 self.probes()
@@ -152,22 +181,23 @@
             self.tick()
 
     def metrics(self):
-        away = GaugeMetricFamily(
+        """Metric families for Prometheus."""
+        unavailable = GaugeMetricFamily(
             "gannet_zone_away",
             "1 where this proxy takes the zone for lost, cut off or silent",
             labels=("zone",),
         )
-        for name, gone in self.monitor.away().items():
-            away.add_metric((name,), gone)
-        yield away
+        for name, is_unavailable in self.monitor.away().items():
+            unavailable.add_metric((name,), is_unavailable)
+        yield unavailable
         if self.shedding:
             weight = GaugeMetricFamily(
                 "gannet_zone_weight",
                 "part of its usual share of dispatches that the zone gets",
                 labels=("zone",),
             )
-            for name, part in self.shedding.weights.items():
-                weight.add_metric((name,), part)
+            for name, share in self.shedding.weights.items():
+                weight.add_metric((name,), share)
             yield weight
             yield CounterMetricFamily(
                 "gannet_site_refused", "invocations refused as a site is lost", value=self.refused
