--- a/gannetfront/lab/sites.py
+++ b/gannetfront/lab/sites.py
@@ -1,6 +1,7 @@
-"""The loss of a site in virtual time: the same cores as at a proxy (sites/monitor.py), over the lab's nodes and clients.
+"""Simulation of the loss of a site: the monitor of a proxy (sites/monitor.py) over the lab's nodes and
+clients.
 
-No members: a zone is told by its nodes alone, and nobody leads the return.
+There is no membership here: the state of a zone follows from its nodes alone, and nobody leads the return.
 """
 
 from .. import host
@@ -10,25 +11,31 @@
 from ..sites.shedding import Shedding
 from .world import Flight, Shell, Try, World
 
-NOBODY = dict(alone=None, unheard=None)
+NO_STANDING = dict(alone=None, unheard=None)  # as Members.standing, while nothing is wrong
 
 
 class AwareShell(Shell):
+    """A proxy's runner with a site monitor whose plan is acted upon."""
+
     def start(self, kept):
         world = self.world
         sites, zone = Sites.of(world.facts), world.day.zones[self.zone]
-        mates = len(range(self.zone, world.day.proxies, len(world.day.zones)))
+        zone_proxies = len(range(self.zone, world.day.proxies, len(world.day.zones)))
         self.shedding = Shedding(
-            sites, list(world.day.operations), sites.work(sites.traffic[zone]) / mates, TICK, world.time
+            sites,
+            list(world.day.operations),
+            sites.work(sites.traffic[zone]) / zone_proxies,
+            TICK,
+            world.time,
         )
         fleet = world.day.fleet
         self.monitor, self.listed = (
             Monitor(world.day.zones, zone, fleet["cold"], fleet["cold_for"], self.shedding),
             {},
         )
-        self.draw = host.Jitter(world.day.seed * 31 + self.number)
+        self.site_random = host.Jitter(world.day.seed * 31 + self.number)
         super().start(kept)
-        world.later(TICK * self.draw.random(), self.look, self.lives)
+        world.later(TICK * self.site_random.random(), self.look, self.lives)
 
     def tell(self, *event):
         if event[0] != "listed" or not self.up:
@@ -36,36 +43,38 @@
         kind, entries = event[1:]
         self.keep(kind, entries)
         self.listed = {**({} if kind != "changes" else self.listed), **{e[0]: e for e in entries}}
-        self.listed = {addr: e for addr, e in self.listed.items() if e[5] != GONE}
-        self.hear(kind, entries)
+        self.listed = {address: e for address, e in self.listed.items() if e[5] != GONE}
+        self.notify_decisions(kind, entries)
 
-    def hear(self, kind, entries):
+    def notify_decisions(self, kind, entries):
+        """Passes a list on to the decisions, as the monitor adapts it."""
         self.carrier.events.append(("listed", kind, self.monitor.entries_for_decisions(entries)))
         self.poke()
 
     def look(self, life):
+        """Probes, ticks the monitor and applies the result; called every TICK while this process lives."""
         if life != self.lives or not self.up:
             return
         world, entries = self.world, list(self.listed.values())
-        out = [(self.listed.get(flight.addr), flight.begun) for flight in self.flights.values()]
-        for zone, addr in self.monitor.to_probe(world.time, entries, out, self.draw.random):
-            place = world.by_addr.get(addr)  # answers as they would come, at once
-            fine = (
-                place is not None
-                and place.state != "down"
-                and not place.node.silent
-                and not world.severed(place, self.number)
+        in_flight = [(self.listed.get(flight.addr), flight.begun) for flight in self.flights.values()]
+        for zone, address in self.monitor.to_probe(world.time, entries, in_flight, self.site_random.random):
+            machine = world.by_addr.get(address)
+            answered = (
+                machine is not None
+                and machine.state != "down"
+                and not machine.node.silent
+                and not world.severed(machine, self.number)
             )
-            self.monitor.on_probe(world.time, zone, addr, fine, 1.0)
-        _, moved, gone = self.monitor.tick(world.time, entries, {}, NOBODY)
-        stage, _, _, _, ver, phase = world.stage_facts()
-        word = self.monitor.stage_vote(world.time, stage, ver, phase, entries)
-        if word and not self.cut():
-            world.later(world.wire(), world.control, "vote", self.number, self.lives, *word)
-        if moved:
-            self.hear("changes", entries)
+            self.monitor.on_probe(world.time, zone, address, answered, 1.0)  # at once, as if after 1 ms
+        _, weights_changed, stopped = self.monitor.tick(world.time, entries, {}, NO_STANDING)
+        stage, _, _, _, version, phase = world.stage_facts()
+        pending_vote = self.monitor.stage_vote(world.time, stage, version, phase, entries)
+        if pending_vote and not self.cut():
+            world.later(world.wire(), world.control, "vote", self.number, self.lives, *pending_vote)
+        if weights_changed:
+            self.notify_decisions("changes", entries)
             for flight in list(self.flights.values()):
-                if self.monitor.zone_of(self.listed.get(flight.addr)) in gone:
+                if self.monitor.zone_of(self.listed.get(flight.addr)) in stopped:
                     flight.land(CANCELLED)
         world.later(TICK, self.look, life)
 
@@ -76,31 +85,35 @@
         )
         return self.monitor.status_for_decisions(entry, status)
 
-    def vote(self, stage, ver, verdict):
-        if self.monitor.withholds_vote(verdict, ver, self.listed.values()):
-            self.tell("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0)
+    def vote(self, stage, version, verdict):
+        if self.monitor.withholds_vote(verdict, version, self.listed.values()):
+            self.tell("stage_told", True, stage, 0.0, 0.0, ERROR, version, 0)
         else:
-            super().vote(stage, ver, verdict)
+            super().vote(stage, version, verdict)
 
 
 class AwareTry(Try):
+    """A client's attempt at a proxy that refuses by the plan."""
+
     def arrive(self, life):
         shell = self.shell
         if life == shell.lives and not self.over:
-            op = self.world.op_of[self.arrival.operation]
-            shell.shedding.on_request(op)
-            if shell.shedding.refuses(op, shell.draw.random()):
-                self.answered("throttled", self.world.day.rules["advice"] * (0.5 + 0.5 * shell.draw.random()))
+            operation = self.world.op_of[self.arrival.operation]
+            shell.shedding.on_request(operation)
+            if shell.shedding.refuses(operation, shell.site_random.random()):
+                self.answered(
+                    "throttled", self.world.day.rules["advice"] * (0.5 + 0.5 * shell.site_random.random())
+                )
                 return
         super().arrive(life)
 
 
 class AwareWorld(World):
-    """A World whose script has `sites`."""
+    """The World of a script with `sites`."""
 
     SHELL, FLIGHT, TRY = AwareShell, Flight, AwareTry
 
 
-def world_of(day, *facts, **named):
-    """The world that plays a script: with sites where it says so."""
-    return (AwareWorld if day.sites and day.sites["acts"] else World)(day, *facts, **named)
+def world_of(day, *args, **kwargs):
+    """The World that runs a script, with site monitoring if the script turns it on."""
+    return (AwareWorld if day.sites and day.sites["acts"] else World)(day, *args, **kwargs)
