--- a/tests/test_sites_lab.py
+++ b/tests/test_sites_lab.py
@@ -1,4 +1,5 @@
-"""The loss of a site in virtual time: hard cases over the lab's nodes and clients, what is served beside what could be."""
+"""Simulated losses of a site over the lab's nodes and clients: what is served meanwhile, and that the site is
+in full use again in time."""
 
 from collections import defaultdict
 
@@ -24,7 +25,7 @@
 sites protect=order,debit
 """
 LOST = "at 8 for 10 {} zone=a share=1\n"
-CASES = {  # name: (load, lines, of what is asked while it is lost: orders and debits served at least, back to whole within s)
+CASES = {  # name: (load, lines, least shares of orders and of debits served during the loss, s from its end until full use)
     "silent": (0.8, LOST.format("vanish"), 0.93, 0.8, 9),
     "crashed and back cold": (0.8, LOST.format("crash"), 0.9, 0.72, 12),
     "cut off": (0.6, "at 8 for 10 sever zone=a\n", 0.9, 0.8, 9),
@@ -75,17 +76,18 @@
 
 
 def day_of(load, lines, seed=3, text=TEXT):
-    """`lines` beside the text, or facts of one of its lines."""
-    word = lines.split()[0]
-    if word in ("traffic", "sites", "fleet"):
-        line = next(x for x in text.splitlines() if x.startswith(word))
-        facts = {
+    """The Day of `text` with `lines` added, or, if `lines` is one line of settings, with these settings
+    changed."""
+    keyword = lines.split()[0]
+    if keyword in ("traffic", "sites", "fleet"):
+        line = next(x for x in text.splitlines() if x.startswith(keyword))
+        options = {
             **dict(x.split("=") for x in line.split()[1:]),
             **dict(x.split("=") for x in lines.split()[1:]),
         }
         text, lines = (
-            text.replace(line, f"{word} " + " ".join(f"{k}={v}" for k, v in facts.items())),
-            LOST.format("crash" if word == "fleet" else "vanish"),
+            text.replace(line, f"{keyword} " + " ".join(f"{k}={v}" for k, v in options.items())),
+            LOST.format("crash" if keyword == "fleet" else "vanish"),
         )
     return script.Day(
         text.replace("seed 3", f"seed {seed}").replace("RATE", f"{load * 18 * 1000 / 60:.1f}") + lines, "s"
@@ -93,57 +95,59 @@
 
 
 def served(world, begin, end):
-    """{operation: share of what was asked between, in s, that succeeded in the end}."""
-    first, done = {}, defaultdict(bool)
+    """{operation: share of the invocations due between the times, in s, that succeeded in the end}."""
+    first_try, succeeded = {}, defaultdict(bool)
     for t in world.rows("tries"):
-        first.setdefault(t["work"], t)
-        done[t["work"]] |= t["answer"] == "succeeded"
+        first_try.setdefault(t["work"], t)
+        succeeded[t["work"]] |= t["answer"] == "succeeded"
     counts = defaultdict(lambda: [0, 0])
-    for work, t in first.items():
+    for work, t in first_try.items():
         if begin * 1000 <= t["due"] < end * 1000:
             counts[t["operation"]][0] += 1
-            counts[t["operation"]][1] += done[work]
-    return {op: n / asked for op, (asked, n) in counts.items()}
+            counts[t["operation"]][1] += succeeded[work]
+    return {op: served_count / total for op, (total, served_count) in counts.items()}
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_a_site_lost_and_back(name):
-    load, lines, orders, debits, back = CASES[name]
+    load, lines, min_orders, min_debits, recovery_time = CASES[name]
     day = day_of(load, lines)
     world = world_of(day)
-    looks = defaultdict(dict)
+    weights = defaultdict(dict)
     for shell in world.proxies:
-        watch(shell, looks[shell.number])
+        record_weights(shell, weights[shell.number])
     world.run()
     assert not any(stories for _, stories in world.verdict().values()), world.verdict()
-    gone = [t for t in day.troubles if t.kind in ("vanish", "crash", "sever")]
-    begin, end = min(t.at for t in gone) / 1000, max(t.until for t in gone) / 1000
-    got = served(world, begin, end)
-    assert got["order"] >= orders and got["debit"] >= debits, got
-    assert all(min(w) == 1.0 for n in looks for at, w in looks[n].items() if at > (end + back) * 1000), (
-        "not whole again"
-    )
+    losses = [t for t in day.troubles if t.kind in ("vanish", "crash", "sever")]
+    begin, end = min(t.at for t in losses) / 1000, max(t.until for t in losses) / 1000
+    served_shares = served(world, begin, end)
+    assert served_shares["order"] >= min_orders and served_shares["debit"] >= min_debits, served_shares
+    assert all(
+        min(w) == 1.0 for n in weights for at, w in weights[n].items() if at > (end + recovery_time) * 1000
+    ), "a site is not in full use again"
     if "half" not in name:
-        # All knew within two seconds; a stage moves only while nobody knows.
-        lived = [
+        # Every proxy detects the loss within two seconds; no stage is promoted while all of them know of it.
+        surviving = [
             seen
-            for n, seen in looks.items()
+            for n, seen in weights.items()
             if not any(x.kind == "kill" and x.proxy == n for x in day.troubles)
         ]
-        assert all(any(min(w) == 0 for at, w in seen.items() if at < (begin + 2) * 1000) for seen in lived)
-        moves = [
+        assert all(
+            any(min(w) == 0 for at, w in seen.items() if at < (begin + 2) * 1000) for seen in surviving
+        )
+        promotions = [
             at
-            for at, what, facts in world.story
-            if what == "stage" and "on build" in str(facts.get("why", ""))
+            for at, event, facts in world.story
+            if event == "stage" and "on build" in str(facts.get("why", ""))
         ]
 
-        def known(at):
+        def known_to_all(at):
             return all(
                 min(w for t, w in ((t, min(w)) for t, w in seen.items()) if at - 2500 < t <= at) < 1
-                for seen in looks.values()
+                for seen in weights.values()
             )
 
-        assert not [at for at in moves if (begin + 2.5) * 1000 < at and known(at)], moves
+        assert not [at for at in promotions if (begin + 2.5) * 1000 < at and known_to_all(at)], promotions
     judged = audit.judge(
         world.facts,
         {},
@@ -151,7 +155,7 @@
         [],
         [
             dict(at=t.at, detail=str(t.until), who=t.zone, what="site struck")
-            for t in gone
+            for t in losses
             if getattr(t, "share", 1) == 1
         ],
     )
@@ -160,8 +164,8 @@
     assert phase in ((None,) if not day.offers else (2,) if "good" in name else (3,)), phase
 
 
-def watch(shell, seen):
-    """Weights by time, as the decisions are told of them."""
+def record_weights(shell, seen):
+    """Records the weights of a proxy's sites in `seen` {time: weights} at each tick."""
     inner = shell.look
 
     def look(life):
@@ -176,18 +180,18 @@
     lines = "".join(f"at {at} for 3 vanish zone=a share=1\n" for at in (6, 14, 22))
     day = day_of(0.5, lines)
     world, seen = world_of(day), {}
-    watch(world.proxies[0], seen)
+    record_weights(world.proxies[0], seen)
     world.run()
 
-    def out(begin, end):
+    def ticks_left_out(begin, end):
         return sum(w[0] == 0 for at, w in seen.items() if begin * 1000 <= at < end * 1000)
 
-    assert out(6, 14) < out(14, 22) <= out(22, 30) and not any(
+    assert ticks_left_out(6, 14) < ticks_left_out(14, 22) <= ticks_left_out(22, 30) and not any(
         stories for _, stories in world.verdict().values()
     )
 
 
-TROUBLES = (
+OTHER_FAULTS = (
     "burst x=1.6",
     "slow share=0.3 x=3",
     "pause share=0.3 ms=700 every=2500",
@@ -201,13 +205,13 @@
 )
 
 
-@pytest.mark.parametrize("nth", range(len(TROUBLES)))
+@pytest.mark.parametrize("nth", range(len(OTHER_FAULTS)))
 def test_no_zone_is_left_out_for_troubles_that_are_no_loss(nth):
-    day = day_of(0.6, f"offer 4 errors size=0.5\nat 8 for 12 {TROUBLES[nth]}\n", seed=nth + 20)
-    world, seen, said = world_of(day), {}, set()
+    day = day_of(0.6, f"offer 4 errors size=0.5\nat 8 for 12 {OTHER_FAULTS[nth]}\n", seed=nth + 20)
+    world, seen, states = world_of(day), {}, set()
     for shell in world.proxies:
-        watch(shell, seen)
+        record_weights(shell, seen)
     world.run()
     for shell in world.proxies:
-        said |= {zone.state for zone in shell.monitor.detector.zones.values()}
-    assert all(min(w) == 1.0 for w in seen.values()) and not said & set(AWAY)
+        states |= {zone.state for zone in shell.monitor.detector.zones.values()}
+    assert all(min(w) == 1.0 for w in seen.values()) and not states & set(AWAY)
