--- a/bench/sites.py
+++ b/bench/sites.py
@@ -165,7 +165,7 @@
     """Zones that were left out at any proxy on a drawn day without a loss: (seed, lines, {zone: looks})."""
     from gannetfront.host import Jitter
     from gannetfront.lab.sites import world_of
-    from gannetfront.sites.failure_detector import AWAY
+    from gannetfront.sites.failure_detector import UNAVAILABLE
 
     draw, lines = (
         Jitter(seed),
@@ -196,7 +196,7 @@
                     for e in shell.listed.values()
                     if e[5] == "ready" and shell.monitor.zone_of(e) == zone and e[0] in world.by_addr
                 ]
-                away = shell.monitor.detector.zones[zone].state in AWAY and weight == 0
+                away = shell.monitor.detector.zones[zone].state in UNAVAILABLE and weight == 0
                 wrong = away and any(
                     p.state == "up" and not p.node.silent and p.at in shell.listed for p in there
                 )
--- a/gannetfront/sites/failure_detector.py
+++ b/gannetfront/sites/failure_detector.py
@@ -27,7 +27,7 @@
     120000.0,
 )  # ms: a failure this soon after the one before is a relapse; how long the zone is reported as flapping then
 
-UNKNOWN, HERE, SLOW, HALF, NODES, CUT, LOST, ONE_WAY, ALONE, FLAPS = (
+UNKNOWN, HEALTHY, SLOW, PARTIAL, UNRESPONSIVE, PARTITIONED, LOST, UNHEARD, ISOLATED, FLAPPING = (
     "not known yet",
     "here",
     "slow",
@@ -39,8 +39,8 @@
     "we are cut off",
     "comes and goes",
 )
-AWAY = NODES, CUT, LOST
-PRESENT = HERE, HALF, SLOW
+UNAVAILABLE = UNRESPONSIVE, PARTITIONED, LOST
+AVAILABLE = HEALTHY, PARTIAL, SLOW
 
 
 class ZoneView:
@@ -79,7 +79,7 @@
         while self.outcomes and self.outcomes[0][0] < now - OUTCOME_WINDOW:
             self.outcomes.popleft()
         for zone in self.zones.values():
-            if zone.state not in AWAY:
+            if zone.state not in UNAVAILABLE:
                 zone.silent = set()
         by_zone = {z: {} for z in self.zones}
         for _, zone, node, answered, took in self.outcomes:
@@ -106,9 +106,9 @@
         states = {}
         for name, zone in self.zones.items():
             state = zone.state
-            if state in (ALONE, ONE_WAY):
-                state = HERE if zone.reachable else NODES
-            states[name] = UNKNOWN if state in PRESENT and not zone.has_answered else state
+            if state in (ISOLATED, UNHEARD):
+                state = HEALTHY if zone.reachable else UNRESPONSIVE
+            states[name] = UNKNOWN if state in AVAILABLE and not zone.has_answered else state
         return states
 
     def renewed(self, name, ready):
@@ -116,7 +116,7 @@
         more, and returns True then: nothing is known of the new ones. A late list may still name nodes that
         were replaced long ago."""
         zone = self.zones[name]
-        if zone.state not in AWAY or not ready or not zone.silent or zone.silent & set(ready):
+        if zone.state not in UNAVAILABLE or not ready or not zone.silent or zone.silent & set(ready):
             return False
         self.outcomes = deque((o for o in self.outcomes if o[1] != name), maxlen=MAX_OUTCOMES)
         zone.state, zone.evidence, zone.silent, zone.reachable, zone.has_answered = (
@@ -143,18 +143,18 @@
             f"{listed[0]} of {listed[1]} nodes listed ready"
         )
         if standing["alone"] and name != self.mine:
-            return ALONE, f"no proxy was heard for {standing['alone']:.0f} ms; {summary}"
+            return ISOLATED, f"no proxy was heard for {standing['alone']:.0f} ms; {summary}"
         if standing["unheard"] and name != self.mine and heard_here and not answered and unanswered:
             return (
-                ONE_WAY,
+                UNHEARD,
                 f"other proxies are heard but did not answer for {standing['unheard']:.0f} ms; {summary}",
             )
         members_gone = all_members and not alive and not heard_here
         zone.had_ready_nodes = zone.had_ready_nodes or listed[0] > 0
         if zone.had_ready_nodes and not listed[0] and not answered and not members_gone:
-            return NODES, f"none of its nodes is listed ready; {summary}"
+            return UNRESPONSIVE, f"none of its nodes is listed ready; {summary}"
         if (
-            not nodes and zone.state in AWAY and zone.had_ready_nodes
+            not nodes and zone.state in UNAVAILABLE and zone.had_ready_nodes
         ):  # without a node ever, a zone is judged by its proxies alone
             return zone.state, f"nothing was sent there lately; {summary}"
         # A single node, however often it is asked, does not stand for its zone.
@@ -169,16 +169,16 @@
             if members_gone or not all_members and not listed[0]:
                 return LOST, summary
             if all_members and alive and not heard_here:
-                return CUT, summary
-            return NODES, summary
+                return PARTITIONED, summary
+            return UNRESPONSIVE, summary
         # Asked without an answer, but too seldom or at too few nodes to tell the cause: no sign of recovery. Once,
         # a random choice that asked a single node one time gave a lost zone its traffic back.
-        if not answered and zone.state in AWAY and (nodes or zone.had_ready_nodes):
+        if not answered and zone.state in UNAVAILABLE and (nodes or zone.had_ready_nodes):
             return zone.state, summary
-        if not answered and zone.state in (ALONE, ONE_WAY) and not zone.reachable:
-            return NODES, summary
+        if not answered and zone.state in (ISOLATED, UNHEARD) and not zone.reachable:
+            return UNRESPONSIVE, summary
         if unresponsive and len(unresponsive) >= PARTIAL_SHARE * len(nodes) and unanswered >= MIN_OUTCOMES:
-            return HALF, summary
+            return PARTIAL, summary
         if zone.state == UNKNOWN and not zone.has_answered:
             return UNKNOWN, summary
         times = sorted(t for c in nodes.values() for t in c[2])
@@ -194,21 +194,21 @@
                 f"usually {usual_times[len(usual_times) // 2]:.0f} ms; {summary}",
             )
         zone.usual_times.extend(times[-MIN_OUTCOMES:])
-        return HERE, summary
+        return HEALTHY, summary
 
     def hold_flapping(self, now, zone, state, evidence):
         """Reports a zone that failed again soon after its recovery as flapping, for longer each time."""
-        if state in AWAY and zone.state not in AWAY and zone.state != FLAPS:
+        if state in UNAVAILABLE and zone.state not in UNAVAILABLE and zone.state != FLAPPING:
             relapsed = zone.failed_at is not None and now - zone.failed_at < RELAPSE_WINDOW
             zone.hold_time = min(MAX_HOLD, 2 * zone.hold_time) if relapsed else MIN_HOLD
             zone.failed_at = now
             if relapsed:
                 zone.held_until = now + zone.hold_time
-        if state in AWAY and zone.state == FLAPS:
+        if state in UNAVAILABLE and zone.state == FLAPPING:
             zone.failed_at, zone.held_until = now, max(zone.held_until, now + zone.hold_time)
-        if state == HERE and now < zone.held_until:
+        if state == HEALTHY and now < zone.held_until:
             return (
-                FLAPS,
+                FLAPPING,
                 f"failed more than once within {RELAPSE_WINDOW:.0f} ms; "
                 f"left out for another {zone.held_until - now:.0f} ms; {evidence}",
             )
--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -19,7 +19,7 @@
     TRIAL,
     UNCONNECTED,
 )
-from .failure_detector import AWAY, FailureDetector
+from .failure_detector import UNAVAILABLE, FailureDetector
 
 TICK = 250.0  # ms between ticks
 OVERDUE = 250.0  # ms that a dispatch has no answer, after which nodes of its zone are probed
@@ -172,4 +172,4 @@
 
     def away(self):
         """{zone: whether it is unavailable}."""
-        return {name: zone.state in AWAY for name, zone in self.detector.zones.items()}
+        return {name: zone.state in UNAVAILABLE for name, zone in self.detector.zones.items()}
--- a/gannetfront/sites/ramp.py
+++ b/gannetfront/sites/ramp.py
@@ -9,7 +9,7 @@
 
 from enum import IntEnum
 
-from .failure_detector import AWAY, FLAPS, PRESENT
+from .failure_detector import UNAVAILABLE, FLAPPING, AVAILABLE
 
 
 class RampStage(IntEnum):
@@ -86,20 +86,20 @@
         """The order that this proxy gives as the leader; `state` as in FailureDetector.for_dispatches."""
         if self.order in OPERATOR_ORDERS:
             return self.order
-        return ReturnOrder(self.stage) if state in PRESENT else ReturnOrder.NO_ORDER
+        return ReturnOrder(self.stage) if state in AVAILABLE else ReturnOrder.NO_ORDER
 
     def tick(self, now, state, leading):
         """Moves at most one stage up or back, or out; an operator's order may restore full traffic at once.
         `leading`: this proxy leads the return."""
         valid = now - self.ordered_at < ORDER_LIFETIME
         let_in = valid and self.order == ReturnOrder.LET_IN
-        if state in AWAY and self.order == ReturnOrder.LET_IN:
+        if state in UNAVAILABLE and self.order == ReturnOrder.LET_IN:
             self.order = (
                 ReturnOrder.NO_ORDER
             )  # lost again: the operator's order covered the previous return only
         if self.order == ReturnOrder.HELD_OUT:  # until an operator's next order, whoever leads
             self.leave_out()
-        elif state in AWAY or state == FLAPS and not let_in:
+        elif state in UNAVAILABLE or state == FLAPPING and not let_in:
             self.leave_out()
         elif let_in:
             if self.stage < RampStage.FULL:
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -78,7 +78,15 @@
 
 
 STATES = st.sampled_from(
-    [detector.HERE, detector.SLOW, detector.HALF, detector.NODES, detector.CUT, detector.LOST, detector.FLAPS]
+    [
+        detector.HEALTHY,
+        detector.SLOW,
+        detector.PARTIAL,
+        detector.UNRESPONSIVE,
+        detector.PARTITIONED,
+        detector.LOST,
+        detector.FLAPPING,
+    ]
 )
 TICKS = st.lists(
     st.tuples(
@@ -108,10 +116,10 @@
         stages = {name: zone.stage for name, zone in shedding.ramps.items()}
         assert any(shedding.weights.values()) and set(shedding.weights.values()) <= set(WEIGHTS)
         for name, state in states.items():
-            forced = orders.get(name) == ReturnOrder.LET_IN and state == detector.FLAPS
+            forced = orders.get(name) == ReturnOrder.LET_IN and state == detector.FLAPPING
             if (
-                state in detector.AWAY
-                or state == detector.FLAPS
+                state in detector.UNAVAILABLE
+                or state == detector.FLAPPING
                 and not forced
                 or orders.get(name) == ReturnOrder.HELD_OUT
             ):
@@ -128,7 +136,7 @@
     # When faults and orders have ended, the weights are full again and nothing is refused.
     shedding.on_orders(traffic.now, dict.fromkeys("abc", ReturnOrder.NO_ORDER))
     traffic.requests, traffic.late = (13, 8, 5), 0
-    traffic.tick(dict.fromkeys("abc", detector.HERE), times=80)
+    traffic.tick(dict.fromkeys("abc", detector.HEALTHY), times=80)
     assert set(shedding.weights.values()) == {1.0} and not shedding.shares
 
 
@@ -199,7 +207,7 @@
 
 
 def test_a_return_goes_by_steps_quicker_with_who_leads_it_and_on_without():
-    lost, here = dict(a=detector.LOST), dict(a=detector.HERE)
+    lost, here = dict(a=detector.LOST), dict(a=detector.HEALTHY)
     duration = {}
     for leading in (False, True):
         traffic = SteadyTraffic(make_shedding())
@@ -244,12 +252,12 @@
 
 
 def test_what_operators_say_outlasts_the_holder_and_a_return_by_order_ends_with_the_next_loss():
-    traffic, flapping = SteadyTraffic(make_shedding()), dict(a=detector.FLAPS)
+    traffic, flapping = SteadyTraffic(make_shedding()), dict(a=detector.FLAPPING)
     traffic.shedding.on_orders(traffic.now, dict(a=ReturnOrder.HELD_OUT))
-    traffic.tick(dict(a=detector.HERE), times=100)
+    traffic.tick(dict(a=detector.HEALTHY), times=100)
     assert (
         traffic.shedding.weights["a"] == 0.0
-        and traffic.shedding.orders_to_give(dict(a=detector.HERE))["a"] == ReturnOrder.HELD_OUT
+        and traffic.shedding.orders_to_give(dict(a=detector.HEALTHY))["a"] == ReturnOrder.HELD_OUT
     )
     traffic.shedding.on_orders(traffic.now, dict(a=ReturnOrder.LET_IN))
     assert traffic.tick(flapping).weights["a"] == 1.0
@@ -258,7 +266,7 @@
         traffic.tick(flapping).weights["a"] == 0.0
         and traffic.shedding.orders_to_give(flapping)["a"] == ReturnOrder.NO_ORDER
     )
-    assert traffic.shedding.orders_to_give(dict(a=detector.HERE, b=detector.LOST)) == dict(
+    assert traffic.shedding.orders_to_give(dict(a=detector.HEALTHY, b=detector.LOST)) == dict(
         a=0, b=ReturnOrder.NO_ORDER, c=ReturnOrder.NO_ORDER
     )
 
--- a/tests/test_site_return.py
+++ b/tests/test_site_return.py
@@ -26,7 +26,7 @@
 from test_sites import LOST_DAY, told_by
 from test_shedding import TICK, SteadyTraffic, make_shedding
 
-LOST, HERE = dict(a=detector.LOST), dict(a=detector.HERE)
+LOST, HERE = dict(a=detector.LOST), dict(a=detector.HEALTHY)
 NO_STANDING = dict(alone=None, unheard=None)
 
 
@@ -137,12 +137,12 @@
         zone: st.sampled_from(
             [
                 detector.UNKNOWN,
-                detector.HERE,
+                detector.HEALTHY,
                 detector.SLOW,
-                detector.HALF,
-                detector.NODES,
+                detector.PARTIAL,
+                detector.UNRESPONSIVE,
                 detector.LOST,
-                detector.FLAPS,
+                detector.FLAPPING,
             ]
         )
         for zone in "abc"
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -126,19 +126,19 @@
 CALM = dict(alone=None, unheard=None)
 THERE, GONE, HEARSAY, NOBODY = (4, 4, 4), (0, 0, 4), (4, 0, 4), (0, 0, 0)
 SEEN = {  # name: (answered, silent) at each of four nodes, members of the zone, what else stands, nodes (ready, listed) -> state
-    "all is well": ([(9, 0)] * 4, THERE, {}, (4, 4), r.HERE),
-    "some errors of the way": ([(9, 1)] * 4, THERE, {}, (4, 4), r.HERE),
+    "all is well": ([(9, 0)] * 4, THERE, {}, (4, 4), r.HEALTHY),
+    "some errors of the way": ([(9, 1)] * 4, THERE, {}, (4, 4), r.HEALTHY),
     "a site lost": ([(0, 2)] * 4, GONE, {}, (4, 4), r.LOST),
     "lost, and nobody asks it": ([], GONE, {}, (0, 4), r.LOST),
     "lost, listed gone, no proxies there": ([(0, 2)] * 4, NOBODY, {}, (0, 4), r.LOST),
-    "cut off from us": ([(0, 2)] * 4, HEARSAY, {}, (4, 4), r.CUT),
-    "its nodes alone": ([(0, 2)] * 4, THERE, {}, (4, 4), r.NODES),
-    "half of it": ([(9, 0), (9, 0), (0, 3), (0, 3)], THERE, {}, (4, 4), r.HALF),
-    "one node of many": ([(9, 0)] * 8 + [(0, 9)], THERE, {}, (9, 9), r.HERE),
-    "we are cut off": ([(0, 2)] * 4, GONE, dict(alone=3000.0), (4, 4), r.ALONE),
-    "one way": ([(0, 2)] * 4, THERE, dict(unheard=3000.0), (4, 4), r.ONE_WAY),
-    "nothing is known": ([], THERE, {}, (4, 4), r.HERE),
-    "its proxies died, its nodes serve": ([(9, 0)] * 4, GONE, {}, (4, 4), r.HERE),
+    "cut off from us": ([(0, 2)] * 4, HEARSAY, {}, (4, 4), r.PARTITIONED),
+    "its nodes alone": ([(0, 2)] * 4, THERE, {}, (4, 4), r.UNRESPONSIVE),
+    "half of it": ([(9, 0), (9, 0), (0, 3), (0, 3)], THERE, {}, (4, 4), r.PARTIAL),
+    "one node of many": ([(9, 0)] * 8 + [(0, 9)], THERE, {}, (9, 9), r.HEALTHY),
+    "we are cut off": ([(0, 2)] * 4, GONE, dict(alone=3000.0), (4, 4), r.ISOLATED),
+    "one way": ([(0, 2)] * 4, THERE, dict(unheard=3000.0), (4, 4), r.UNHEARD),
+    "nothing is known": ([], THERE, {}, (4, 4), r.HEALTHY),
+    "its proxies died, its nodes serve": ([(9, 0)] * 4, GONE, {}, (4, 4), r.HEALTHY),
 }
 
 
@@ -148,8 +148,8 @@
     for zone in ("home", "far"):
         zones.on_outcome(-500.0, zone, "n0", True, 50.0)
     assert [(z, state) for z, state, _ in zones.tick(0.0, {}, CALM, {})] == [
-        ("home", r.HERE),
-        ("far", r.HERE),
+        ("home", r.HEALTHY),
+        ("far", r.HEALTHY),
     ]
     return zones
 
@@ -166,8 +166,8 @@
     *facts, state = SEEN[name]
     zones = known_zones()
     changed = look(zones, 1000.0, *facts)
-    assert zones.zones["far"].state == state and zones.zones["home"].state == r.HERE
-    assert [(z, s) for z, s, _ in changed] == ([("far", state)] if state != r.HERE else []) and all(
+    assert zones.zones["far"].state == state and zones.zones["home"].state == r.HEALTHY
+    assert [(z, s) for z, s, _ in changed] == ([("far", state)] if state != r.HEALTHY else []) and all(
         e for *_, e in changed
     )
 
@@ -179,8 +179,8 @@
     look(zones, 1000.0, nodes, *facts)
     answered = any(n for n, _ in nodes)
     assert zones.zones["home"].state == r.UNKNOWN == zones.for_dispatches()["home"]
-    assert zones.zones["far"].state == (state if answered or state != r.HERE else r.UNKNOWN)
-    assert (zones.for_dispatches()["far"] in r.PRESENT) == (answered and state in r.PRESENT)
+    assert zones.zones["far"].state == (state if answered or state != r.HEALTHY else r.UNKNOWN)
+    assert (zones.for_dispatches()["far"] in r.AVAILABLE) == (answered and state in r.AVAILABLE)
 
 
 def test_one_that_is_away_stays_so_until_something_answers_there():
@@ -192,24 +192,24 @@
         assert (
             look(zones, 5000.0 + 500 * n, [], THERE, {}, (4, 4)) == [] and zones.zones["far"].state == r.LOST
         )
-    assert look(zones, 12000.0, [(0, 0), (0, 0), (2, 0)], THERE, {}, (4, 4))[0][1] == r.HERE
-    assert look(zones, 14000.0, [], THERE, {}, (0, 4))[0][1] == r.NODES
+    assert look(zones, 12000.0, [(0, 0), (0, 0), (2, 0)], THERE, {}, (4, 4))[0][1] == r.HEALTHY
+    assert look(zones, 14000.0, [], THERE, {}, (0, 4))[0][1] == r.UNRESPONSIVE
     # One without nodes is told by its proxies alone, both ways.
     zones = known_zones()
     assert (
         look(zones, 1000.0, [], GONE, {}, (0, 0))[0][1] == r.LOST
-        and look(zones, 3000.0, [], THERE, {}, (0, 0))[0][1] == r.HERE
+        and look(zones, 3000.0, [], THERE, {}, (0, 0))[0][1] == r.HEALTHY
     )
     # Where nobody is heard nothing is said of the others, but what answers nothing is sent nothing.
     zones = known_zones()
     for at, nodes, state in (
-        (1000.0, [(9, 0)] * 4, r.HERE),
-        (3000.0, [(0, 2)] * 4, r.NODES),
-        (5000.0, [], r.NODES),
-        (7000.0, [(1, 0)], r.HERE),
+        (1000.0, [(9, 0)] * 4, r.HEALTHY),
+        (3000.0, [(0, 2)] * 4, r.UNRESPONSIVE),
+        (5000.0, [], r.UNRESPONSIVE),
+        (7000.0, [(1, 0)], r.HEALTHY),
     ):
         look(zones, at, nodes, GONE, dict(alone=3000.0), (4, 4))
-        assert zones.zones["far"].state == r.ALONE and zones.for_dispatches()["far"] == state
+        assert zones.zones["far"].state == r.ISOLATED and zones.for_dispatches()["far"] == state
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     ids=["eight times one node", "twice one node", "two nodes once"],
 )
 @pytest.mark.parametrize(
-    "more, first", [({}, r.LOST), (dict(alone=3000.0), r.ALONE), (dict(unheard=3000.0), r.ONE_WAY)]
+    "more, first", [({}, r.LOST), (dict(alone=3000.0), r.ISOLATED), (dict(unheard=3000.0), r.UNHEARD)]
 )
 def test_one_that_is_away_is_not_back_by_fewer_questions_without_an_answer(asked, more, first):
     """A lost site got traffic again for a fraction of a second, in the middle of its loss.
@@ -228,26 +228,26 @@
     `zone=b state=lost`, 1.5 s later `state="in part" evidence="0 answered, 8 not, at 1 nodes"`, `site weights b: 1.0`, then lost again.
     Seen in 3 of 12 plays of the day of test_site_return.py (docs/incidents/away-without-answer.md).
     """
-    zones, heard = known_zones(), THERE if first == r.ONE_WAY else GONE
+    zones, heard = known_zones(), THERE if first == r.UNHEARD else GONE
     assert look(zones, 1000.0, [(0, 2)] * 4, heard, more, (4, 4))[0][1] == first
-    assert zones.for_dispatches()["far"] in r.AWAY
+    assert zones.for_dispatches()["far"] in r.UNAVAILABLE
     look(zones, 3000.0, asked, heard, {}, (4, 4))
-    assert zones.for_dispatches()["far"] in r.AWAY
+    assert zones.for_dispatches()["far"] in r.UNAVAILABLE
     look(zones, 5000.0, [], heard, {}, (4, 4))
-    assert zones.for_dispatches()["far"] in r.AWAY
-    assert look(zones, 7000.0, [(1, 0)], heard, {}, (4, 4))[0][1] == r.HERE
+    assert zones.for_dispatches()["far"] in r.UNAVAILABLE
+    assert look(zones, 7000.0, [(1, 0)], heard, {}, (4, 4))[0][1] == r.HEALTHY
 
 
 def test_one_silent_node_is_no_zone_and_other_nodes_are_not_blamed_for_those_before_them():
     zones = known_zones()
-    assert look(zones, 1000.0, [(0, 9)], THERE, {}, (3, 3))[0][1] == r.HALF, (
+    assert look(zones, 1000.0, [(0, 9)], THERE, {}, (3, 3))[0][1] == r.PARTIAL, (
         "the one that is sick was asked by chance"
     )
-    assert look(zones, 3000.0, [(0, 9)], THERE, {}, (1, 1))[0][1] == r.NODES
+    assert look(zones, 3000.0, [(0, 9)], THERE, {}, (1, 1))[0][1] == r.UNRESPONSIVE
     assert not zones.renewed("far", ["n0", "n5"]) and not zones.renewed("far", [])
     assert zones.renewed("far", ["n5", "n6"]) and zones.zones["far"].state == r.UNKNOWN
     assert look(zones, 4100.0, [], THERE, {}, (2, 2)) == [] and not zones.renewed("far", ["n7"])
-    assert look(zones, 4200.0, [(1, 0)], THERE, {}, (2, 2))[0][1] == r.HERE
+    assert look(zones, 4200.0, [(1, 0)], THERE, {}, (2, 2))[0][1] == r.HEALTHY
 
 
 def test_slow_is_not_gone_and_one_that_comes_and_goes_is_held_for_longer_each_time():
@@ -256,14 +256,14 @@
         assert not look(zones, 500.0 * n, *well)
     now = 31000.0
     assert look(zones, now, *well, took=400.0)[0][1] == r.SLOW
-    assert look(zones, now + 2000, *well)[0][1] == r.HERE
+    assert look(zones, now + 2000, *well)[0][1] == r.HEALTHY
     held = []
     for turn in range(3):
         now += 8000.0
         assert look(zones, now, *lost)[0][1] == r.LOST
         back = now + 2000.0
         state = look(zones, back, *well)[0][1]
-        while state == r.FLAPS:
+        while state == r.FLAPPING:
             back += 500.0
             changed = look(zones, back, *well)
             state = changed[0][1] if changed else state
@@ -283,10 +283,12 @@
             if line.startswith("{")
         ]
         states = [e["state"] for e in told if e["event"] == "zone" and e["zone"] == "b"]
-        assert set(states) & set(r.AWAY), states
-        assert states[-1] in (r.HERE, r.SLOW, r.FLAPS, r.HALF), states
+        assert set(states) & set(r.UNAVAILABLE), states
+        assert states[-1] in (r.HEALTHY, r.SLOW, r.FLAPPING, r.PARTIAL), states
         assert not [
-            e for e in told if e["event"] == "zone" and e["zone"] == "a" and e["state"] in (*r.AWAY, r.ALONE)
+            e
+            for e in told
+            if e["event"] == "zone" and e["zone"] == "a" and e["state"] in (*r.UNAVAILABLE, r.ISOLATED)
         ]
 
 
--- a/tests/test_sites_lab.py
+++ b/tests/test_sites_lab.py
@@ -8,7 +8,7 @@
 from gannetfront import script
 from gannetfront.audit import sites as audit
 from gannetfront.lab.sites import world_of
-from gannetfront.sites.failure_detector import AWAY
+from gannetfront.sites.failure_detector import UNAVAILABLE
 
 TEXT = """
 day 34
@@ -214,4 +214,4 @@
     world.run()
     for shell in world.proxies:
         states |= {zone.state for zone in shell.monitor.detector.zones.values()}
-    assert all(min(w) == 1.0 for w in seen.values()) and not states & set(AWAY)
+    assert all(min(w) == 1.0 for w in seen.values()) and not states & set(UNAVAILABLE)
