--- a/gannetfront/calm/storm.py
+++ b/gannetfront/calm/storm.py
@@ -27,16 +27,16 @@
         self.by_build = Counter()  # dispatches by (build, answered or not)
 
 
-class Watch:
+class StormDetector:
     """Storm detector of one proxy. It is notified of requests, connections, dispatches, answers and nodes;
-    `look` reports storms."""
+    `tick` reports storms."""
 
     def __init__(self, now):
         self.second, self.seconds, self.usual = Second(now), deque(maxlen=30), deque(maxlen=60)
         self.keys, self.ready, self.cold, self.listed = {}, 0, 0, 0
         self.storm, self.calm_seconds, self.refused = None, 0, Counter()
 
-    def asked(self, now, idempotency_key):
+    def on_request(self, now, idempotency_key):
         """Records a request with its idempotency key, or none."""
         self.second.requests += 1
         if idempotency_key:
@@ -45,17 +45,17 @@
             self.second.keyed += 1
             self.keys[idempotency_key] = now
 
-    def connected(self):
+    def on_connection(self):
         """Records a new connection of a client."""
         self.second.connects += 1
 
-    def dispatched(self, build, status, answered):
+    def on_dispatch(self, build, status, answered):
         """Records the end of a dispatch to a node of `build`, and whether it was answered."""
         self.second.by_build[build, answered] += 1
         if not answered:
             self.second.failures[status] += 1
 
-    def answered(self, kind, timely, tenant, operation):
+    def on_answer(self, kind, timely, tenant, operation):
         """Records an answer to a client; `kind` is succeeded, throttled or terminated, `timely` whether it
         came within the SLO time."""
         self.second.timely += timely
@@ -66,11 +66,11 @@
             else:
                 self.refused["others", "", kind, cause] += 1
 
-    def nodes(self, ready, cold, listed):
+    def on_nodes(self, ready, cold, listed):
         """Records how many nodes are ready, how many of those are cold, and how many are listed."""
         self.ready, self.cold, self.listed = ready, cold, listed
 
-    def look(self, now):
+    def tick(self, now):
         """Evaluates the seconds that have ended by `now`, ms: a list of ("storm", facts) where a storm began
         and ("calm", facts) where one ended."""
         reports = []
@@ -83,7 +83,7 @@
         return reports
 
     def evaluate(self, ended):
-        """Reports of the second `ended`, as `look` returns them."""
+        """Reports of the second `ended`, as `tick` returns them."""
         if len(self.keys) > 20000:
             self.keys = {key: at for key, at in self.keys.items() if ended.at - at < 10000.0}
         # An answer may come in the second after its request: two seconds are evaluated together.
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -27,7 +27,7 @@
         self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE)
 
     def handle(self, stream):
-        self.rounds.watch.connected()
+        self.rounds.watch.on_connection()
         self.open.add(stream)
         close = stream.close
         try:
@@ -122,7 +122,7 @@
                 None,
             )
         # By its mark: a key is shared by all that belongs together, and would make of every caller one that comes again.
-        self.rounds.watch.asked(host.now(), mark)
+        self.rounds.watch.on_request(host.now(), mark)
         held = self.rounds.take(op, tenant, key, max(0.0, left), url, headers, body)
         if held is None:
             return (
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -153,8 +153,8 @@
             entries = [e for e, _ in self.kept.nodes.values()]
             ready = [e for e in entries if e[5] == "ready"]
             cold = sum(1 for e in ready if e[7] and host.now() - e[7] < self.warm_within)
-            self.rounds.watch.nodes(len(ready), cold, len(entries))
-            for what, facts in self.rounds.watch.look(host.now()):
+            self.rounds.watch.on_nodes(len(ready), cold, len(entries))
+            for what, facts in self.rounds.watch.tick(host.now()):
                 (self.log.warning if what == "storm" else self.log.info)(what, **facts)
 
     def saw(self, addr, op, status, took):
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -5,7 +5,7 @@
 """
 
 from .. import host
-from ..calm.storm import Watch
+from ..calm.storm import StormDetector
 from ..interface import ERROR, MOOT, RESET, SUCCEEDED
 from ..trail import Refused
 from .carrier import Carrier
@@ -44,7 +44,7 @@
         )  # what of outcomes and votes goes on
         self.carrier, self.spent, self.rounds = Carrier(make, self), 0.0, 0
         self.observe, self.trail, self.must = lambda *fields: None, None, ()
-        self.watch, self.slo_times, self.advice = Watch(host.now()), (), lambda op: 0.0
+        self.watch, self.slo_times, self.advice = StormDetector(host.now()), (), lambda op: 0.0
         self.close_idle, self.refill, self.build_of = pools.close_idle, lambda: None, lambda addr: 0
 
     held = property(lambda self: self.carrier.held)
@@ -69,7 +69,7 @@
         """A Held, or None when it was not taken; `why` says why, `wait` after how many ms it may come back."""
         refused = self.turned_away(op)
         if refused:
-            self.watch.answered("throttled", False, tenant, op)
+            self.watch.on_answer("throttled", False, tenant, op)
         elif len(self.held) >= self.most_held or len(self.box) >= self.box.most - 1024:
             refused = b"too much is held here", self.advice(op)
         elif self.trail and self.must[op] and self.trail.refuses():
@@ -121,7 +121,7 @@
         if kind == "terminated" and not facts:
             held.answer = kind, host.now() >= held.deadline - 5
         in_time = kind == "succeeded" and host.now() - held.extra.begun <= self.slo_times[held.op]
-        self.watch.answered(kind, in_time, held.extra.tenant, held.op)
+        self.watch.on_answer(kind, in_time, held.extra.tenant, held.op)
         if self.trail:
             self.trail.append("answer", request=held.extra.name, op=held.op, answer=kind)
         held.extra.done.set()
@@ -164,7 +164,7 @@
         if life == self.carrier.life:
             del self.flights[held.ident, seq]
             self.observe(flight.addr, held.op, status, took)
-            self.watch.dispatched(self.build_of(flight.addr), status, status == SUCCEEDED)
+            self.watch.on_dispatch(self.build_of(flight.addr), status, status == SUCCEEDED)
             self.carrier.landed(
                 held,
                 seq,
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -6,29 +6,29 @@
 import pytest
 from click.testing import CliRunner
 
-from gannetfront.calm.storm import Watch
+from gannetfront.calm.storm import StormDetector
 from gannetfront.cli.kitchen import main as kitchen
 
 
 class Traffic:
-    """Drives a Watch second by second; `reports` are all that it returned."""
+    """Drives a StormDetector second by second; `reports` are all that it returned."""
 
     def __init__(self):
-        self.watch, self.now, self.reports, self.last_key = Watch(0.0), 0.0, [], 0
-        self.watch.nodes(10, 0, 10)
+        self.watch, self.now, self.reports, self.last_key = StormDetector(0.0), 0.0, [], 0
+        self.watch.on_nodes(10, 0, 10)
 
     def second(self, requests, timely, status=None, repeats=0, builds=(1,), bad=()):
         """One second with so many requests, of which `timely` are answered in time and `repeats` are repeats.
         Dispatches end with `status`; those to `bad` builds fail."""
         for n in range(requests):
             self.last_key += 1
-            self.watch.asked(self.now, f"k{n % 3}" if n < repeats else f"x{self.last_key}")
+            self.watch.on_request(self.now, f"k{n % 3}" if n < repeats else f"x{self.last_key}")
             build, in_time = builds[n % len(builds)], n < timely
             if status or in_time:
-                self.watch.dispatched(build, status or "succeeded", in_time if not bad else build not in bad)
-            self.watch.answered("succeeded" if in_time else "throttled", in_time, 0, 0)
+                self.watch.on_dispatch(build, status or "succeeded", in_time if not bad else build not in bad)
+            self.watch.on_answer("succeeded" if in_time else "throttled", in_time, 0, 0)
         self.now += 1000.0
-        self.reports += self.watch.look(self.now)
+        self.reports += self.watch.tick(self.now)
 
     def calm(self, seconds=10, requests=40):
         for _ in range(seconds):
@@ -60,11 +60,11 @@
     ],
 )
 def test_a_storm_is_told_once_by_its_symptom_and_its_end_once(traffic, kind, nodes, symptoms):
-    traffic.watch.nodes(*nodes)
+    traffic.watch.on_nodes(*nodes)
     for _ in range(6):
         traffic.second(40, 5, **symptoms)
     assert kinds(traffic) == [kind]
-    traffic.watch.nodes(10, 0, 10)
+    traffic.watch.on_nodes(10, 0, 10)
     traffic.calm()
     assert [event for event, _ in traffic.reports] == ["storm", "calm"] and traffic.reports[1][1][
         "refused"
@@ -77,7 +77,7 @@
         traffic.second(requests, requests - 3)
     traffic.second(3, 0)  # too few to say anything
     traffic.now += 600000.0  # ten minutes without a request
-    traffic.reports += traffic.watch.look(traffic.now)
+    traffic.reports += traffic.watch.tick(traffic.now)
     assert traffic.reports == []
 
 
@@ -90,11 +90,11 @@
 
 def test_what_is_kept_is_bounded(traffic):
     for n in range(200):
-        traffic.watch.answered("throttled", False, n, 0)
+        traffic.watch.on_answer("throttled", False, n, 0)
     for n in range(30000):
-        traffic.watch.asked(traffic.now + n, f"z{n}")
+        traffic.watch.on_request(traffic.now + n, f"z{n}")
     traffic.now += 40000.0
-    traffic.watch.look(traffic.now)
+    traffic.watch.tick(traffic.now)
     assert len(traffic.watch.refused) <= 66 and len(traffic.watch.keys) <= 20000
 
 
