--- a/gannetfront/cli/sites.py
+++ b/gannetfront/cli/sites.py
@@ -41,20 +41,20 @@
                 f"--lost: {f'no site {unknown[0]}' if unknown else 'no site is left'}; known: {', '.join(sites.capacity)}"
             )
         )
-    plans = [sites.without(case) for case in ([lost] if lost else sites.cases())]
+    plans = [sites.plan_for(case) for case in ([lost] if lost else sites.loss_cases())]
     if not plans:
         raise SystemExit(complain(f"{fleet}: one site alone has nowhere to send its load"))
     if picture:
-        from ..sites.picture import draw
+        from ..sites.picture import render
 
-        Path(picture).write_bytes(draw(plans, "png" if picture.endswith(".png") else "svg"))
+        Path(picture).write_bytes(render(plans, "png" if picture.endswith(".png") else "svg"))
     for p in plans:
         if as_json:
             click.echo(
                 json.dumps(
                     dict(
                         lost=p.lost,
-                        full=p.full,
+                        full=p.utilization,
                         shares=p.shares(),
                         refused=p.refused,
                         value=p.value,
@@ -66,7 +66,7 @@
         click.echo(
             f"{' and '.join(p.lost)} lost: {p.value:.1%} of the value remains, {p.price():.2%} paid for other zones"
         )
-        for zone, full in p.full.items():
+        for zone, full in p.utilization.items():
             click.echo(
                 f"  {zone}: {full:.0%} full"
                 + "".join(
@@ -97,8 +97,8 @@
     for nth, name in enumerate(names):
         sites.classes[name].protected = nth
     wrong = 0
-    for case in sites.cases(zones):
-        for op, share in sites.without(case).protected_refused(names).items():
+    for case in sites.loss_cases(zones):
+        for op, share in sites.plan_for(case).protected_refused(names).items():
             wrong += 1
             click.echo(f"{' and '.join(case)} lost: {share:.1%} of {op} is refused")
     click.echo("fine" if not wrong else f"{wrong} of it")
@@ -150,7 +150,7 @@
 def measure(folder):
     """Lines for the fleet's settings from the records in FOLDER (of gannet-day): capacity, traffic, work."""
     from .. import records
-    from ..sites.measured import as_settings, measured
+    from ..sites.measured import as_settings, measure_sites
 
     fleet = settings(schema.Fleet, f"{folder}/fleet.textproto")
     zone_of = {}
@@ -158,7 +158,7 @@
         mine = settings(schema.Proxy, str(path))
         zone_of[mine.me] = mine.zone or fleet.zone[0]
     try:
-        found = measured(
+        found = measure_sites(
             list(fleet.zone),
             zone_of,
             *(records.read(folder, name) for name in ("tries", "dispatches", "nodes")),
--- a/gannetfront/sites/measured.py
+++ b/gannetfront/sites/measured.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 
-def measured(zones, zone_of, tries, dispatches, nodes):
+def measure_sites(zones, zone_of, tries, dispatches, nodes):
     """({operation: ms of work}, {zone: capacity, ms of work a ms}, {zone: {operation: invocations a
     second}}). `zones` are names in the order of the settings, `zone_of` is {proxy number: zone}; the others
     are rows of the records' tables. Raises ValueError where the records hold too little."""
--- a/gannetfront/sites/picture.py
+++ b/gannetfront/sites/picture.py
@@ -4,7 +4,7 @@
 import io
 
 
-def draw(plans, form="svg"):
+def render(plans, form="svg"):
     """Bytes of an SVG or PNG file (`form`) with a row of bars for each Plan."""
     import matplotlib
 
@@ -18,8 +18,10 @@
     )
     names, height = [" and ".join(p.lost) + " lost" for p in plans], 0.8 / max(1, len(zones))
     for nth, zone in enumerate(zones):
-        rows = [n for n, p in enumerate(plans) if zone in p.full]
-        left.barh([n + nth * height for n in rows], [plans[n].full[zone] for n in rows], height, label=zone)
+        rows = [n for n, p in enumerate(plans) if zone in p.utilization]
+        left.barh(
+            [n + nth * height for n in rows], [plans[n].utilization[zone] for n in rows], height, label=zone
+        )
     left.axvline(plans[0].sites.fill, color="black", linewidth=0.8, linestyle=":")
     left.set(
         yticks=[n + 0.4 for n in range(len(plans))],
--- a/gannetfront/sites/plan.py
+++ b/gannetfront/sites/plan.py
@@ -13,7 +13,7 @@
 from itertools import combinations
 
 
-class Class:
+class OperationClass:
     """One operation: its work and value for an invocation, and its place among the protected operations or
     None."""
 
@@ -26,9 +26,10 @@
 class Sites:
     """The sites and their usual traffic, from which plans are made.
 
-    `capacity` is {zone: ms of work a ms}, `traffic` {zone: {operation: rate}}, `classes` {operation: Class},
-    `price(from, to)` the price of a dispatch between zones as a share of its value, `fill` the part of its
-    capacity to which a site may be filled, `lean` from 0 (by headroom alone) to 1 (cheapest first)."""
+    `capacity` is {zone: ms of work a ms}, `traffic` {zone: {operation: rate}}, `classes` {operation:
+    OperationClass}, `price(from, to)` the price of a dispatch between zones as a share of its value, `fill`
+    the part of its capacity to which a site may be filled, `lean` from 0 (by headroom alone) to 1 (cheapest
+    first)."""
 
     def __init__(self, capacity, traffic, classes, price, fill=0.85, lean=0.0):
         self.capacity, self.traffic, self.classes, self.price, self.fill, self.lean = (
@@ -47,7 +48,7 @@
             raise ValueError("the fleet's settings have no site")
         protect = list(fleet.protect)
         classes = {
-            o.name: Class(
+            o.name: OperationClass(
                 o.name, o.work, o.billed_value, protect.index(o.name) if o.name in protect else None
             )
             for o in fleet.operation
@@ -95,7 +96,7 @@
             )
         ]
 
-    def cases(self, max_lost=2):
+    def loss_cases(self, max_lost=2):
         """Every zone, every pair, and so on up to `max_lost` zones lost together, as long as one zone
         remains."""
         zones = list(self.capacity)
@@ -106,7 +107,7 @@
             if len(zones) > count
         ]
 
-    def without(self, lost):
+    def plan_for(self, lost):
         """The Plan for the loss of the zones `lost`."""
         remaining = [z for z in self.capacity if z not in lost]
         room = {z: self.fill * self.capacity[z] for z in remaining}
@@ -138,8 +139,8 @@
 class Plan:
     """What happens when the zones `lost` are lost.
 
-    `refused` is {operation: share}, `moves` {(from, to): work a ms}, `full` {zone: part of its capacity in
-    use} and `value` the share of the usual value that remains."""
+    `refused` is {operation: share}, `moves` {(from, to): work a ms}, `utilization` {zone: part of its
+    capacity in use} and `value` the share of the usual value that remains."""
 
     def __init__(self, sites, lost, remaining, room, served, refused, local):
         self.sites, self.lost, self.remaining, self.served, self.refused = (
@@ -154,7 +155,7 @@
             {z: w for z, w in remote.items() if w > 1e-9}, {z: room[z] - local[z] for z in remaining}
         )
         received = {z: sum(w for (_, to), w in self.moves.items() if to == z) for z in remaining}
-        self.full = {
+        self.utilization = {
             z: (local[z] + received[z]) / sites.capacity[z] if sites.capacity[z] else 0.0 for z in remaining
         }
         usual_value = sum(map(sites.value, sites.traffic.values()))
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -28,12 +28,12 @@
     WEIGHTS,
     ReturnOrder,
 )
-from gannetfront.sites.plan import Class, Sites
+from gannetfront.sites.plan import OperationClass, Sites
 
 CLASSES = {
-    "read": Class("read", 60.0, 1.0, None),
-    "order": Class("order", 60.0, 5.0, 0),
-    "debit": Class("debit", 60.0, 2.0, 1),
+    "read": OperationClass("read", 60.0, 1.0, None),
+    "order": OperationClass("order", 60.0, 5.0, 0),
+    "debit": OperationClass("debit", 60.0, 2.0, 1),
 }
 OPERATIONS, TICK, REFUSAL_ORDER = list(CLASSES), 250.0, [0, 2, 1]  # names; ms; by index
 FULL_CAPACITIES = dict(a=4.0, b=4.0, c=4.0)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,13 +11,13 @@
 from gannetfront.config import load, schema_pb2 as schema
 from gannetfront.interface import FINGERPRINTED, SIDE_EFFECTING
 from gannetfront.sites import failure_detector as r
-from gannetfront.sites.plan import Class, Sites
+from gannetfront.sites.plan import OperationClass, Sites
 from test_audit import play
 
 OPS = {
-    "read": Class("read", 60.0, 1.0, None),
-    "order": Class("order", 60.0, 5.0, 0),
-    "debit": Class("debit", 40.0, 2.0, 1),
+    "read": OperationClass("read", 60.0, 1.0, None),
+    "order": OperationClass("order", 60.0, 5.0, 0),
+    "debit": OperationClass("debit", 40.0, 2.0, 1),
 }
 FLEET = """
 zone: "a" zone: "b" zone: "c"
@@ -57,10 +57,15 @@
     )
     order = one.refusal_order()
     assert order == ["read", "debit", "order"]
-    for case in one.cases():
-        p = one.without(case)
-        assert all(full <= one.fill + 1e-6 for full in p.full.values()) and not set(p.full) & set(case)
-        served, done = sum(map(one.work, p.served.values())), sum(p.full[z] * one.capacity[z] for z in p.full)
+    for case in one.loss_cases():
+        p = one.plan_for(case)
+        assert all(full <= one.fill + 1e-6 for full in p.utilization.values()) and not set(
+            p.utilization
+        ) & set(case)
+        served, done = (
+            sum(map(one.work, p.served.values())),
+            sum(p.utilization[z] * one.capacity[z] for z in p.utilization),
+        )
         assert served == pytest.approx(done, abs=1e-6)
         # All of what is refused earlier is gone before any of what comes later is touched.
         shares = [p.refused.get(op, 0.0) for op in order if any(t.get(op) for t in one.traffic.values())]
@@ -77,12 +82,12 @@
         {"a": 10.0, "b": 10.0, "c": 20.0},
         {"a": {"read": 80.0}, "b": {"read": 80.0}, "c": {"read": 80.0}},
     )
-    even = sites(*facts, near).without(["a"])
+    even = sites(*facts, near).plan_for(["a"])
     assert even.shares()["a"]["b"] == pytest.approx(3.7 / 15.9) and not even.refused
-    cheap = sites(*facts, near, lean=1.0).without(["a"])
+    cheap = sites(*facts, near, lean=1.0).plan_for(["a"])
     assert (
         cheap.shares()["a"]["b"] == pytest.approx(3.7 / 4.8)
-        and cheap.full["b"] == pytest.approx(0.85)
+        and cheap.utilization["b"] == pytest.approx(0.85)
         and cheap.price() < even.price()
     )
 
