--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -36,7 +36,7 @@
     name, ORDERS = "site-return", tuple(ORDERS)
 
     def __init__(self, d, sites, file, log):
-        """`sites` is this proxy's AtProxy, whose plan is acted upon; `file` keeps the last token over a restart."""
+        """`sites` is this proxy's ProxySites, whose plan is acted upon; `file` keeps the last token over a restart."""
         self.every, self.sites, self.log, self.file, self.token = d.every, sites, log, file, None
         self.names, self.wishes = (
             list(sites.shedding.ramps),
--- a/gannetfront/lab/sites.py
+++ b/gannetfront/lab/sites.py
@@ -14,7 +14,7 @@
 NO_STANDING = dict(alone=None, unheard=None)  # as Members.standing, while nothing is wrong
 
 
-class AwareShell(Shell):
+class SiteAwareShell(Shell):
     """A proxy's runner with a site monitor whose plan is acted upon."""
 
     def start(self, kept):
@@ -92,7 +92,7 @@
             super().vote(stage, version, verdict)
 
 
-class AwareTry(Try):
+class SiteAwareTry(Try):
     """A client's attempt at a proxy that refuses by the plan."""
 
     def arrive(self, life):
@@ -108,12 +108,12 @@
         super().arrive(life)
 
 
-class AwareWorld(World):
+class SiteAwareWorld(World):
     """The World of a script with `sites`."""
 
-    SHELL, FLIGHT, TRY = AwareShell, Flight, AwareTry
+    SHELL, FLIGHT, TRY = SiteAwareShell, Flight, SiteAwareTry
 
 
 def world_of(day, *args, **kwargs):
     """The World that runs a script, with site monitoring if the script turns it on."""
-    return (AwareWorld if day.sites and day.sites["acts"] else World)(day, *args, **kwargs)
+    return (SiteAwareWorld if day.sites and day.sites["acts"] else World)(day, *args, **kwargs)
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -17,7 +17,7 @@
 from .pools import Pools
 from .rounds import Rounds
 from .signals import Signals
-from .sites import AtProxy
+from .sites import ProxySites
 from .tenants import Listed, Tenants
 
 
@@ -91,7 +91,9 @@
         self.rounds.link, self.rounds.signals = self.link, self.signals
         self.members = Membership(mine, fleet.zone, log, host.chance(mine.seed, 6)) if mine.mate else None
         self.sites = (
-            AtProxy(fleet, mine, facts, self.rounds, self.kept, self.members, log, host.chance(mine.seed, 9))
+            ProxySites(
+                fleet, mine, facts, self.rounds, self.kept, self.members, log, host.chance(mine.seed, 9)
+            )
             if self.members or fleet.site_acts
             else None
         )
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -16,14 +16,14 @@
 REFUSAL_REASON = b"a site is lost and what is left has no room for this"
 
 
-def planned(sites, mine, fleet):
+def planned_work(sites, mine, fleet):
     """Work, in ms a ms, that this proxy is usually asked for: an even part of its zone's traffic."""
     zone = mine.zone or fleet.zone[0]
     zone_proxies = sum(m.zone == zone for m in mine.mate) or max(1.0, fleet.proxies / len(fleet.zone))
     return sites.work(sites.traffic.get(zone, {})) / zone_proxies
 
 
-class AtProxy:
+class ProxySites:
     """Site monitoring of one proxy: `node_list` is its node list, `rounds` the round loop, `membership` the
     Membership or None, `random` a random generator. `leading()` is true while this proxy leads the return;
     `staged()` is the last stage received."""
@@ -50,9 +50,13 @@
         if fleet.site_acts:
             sites = Sites.of(fleet)
             self.shedding = Shedding(
-                sites, self.operation_names, planned(sites, mine, fleet), TICK, host.now()
+                sites, self.operation_names, planned_work(sites, mine, fleet), TICK, host.now()
+            )
+            rounds.turned_away, rounds.told_as, rounds.holds = (
+                self.refusal,
+                self.status_for_decisions,
+                self.withholds_vote,
             )
-            rounds.turned_away, rounds.told_as, rounds.holds = self.turned_away, self.told_as, self.holds
         self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as last received
         self.monitor = Monitor(
             list(fleet.zone), mine.zone or fleet.zone[0], facts.cold_share, facts.warm_within, self.shedding
@@ -118,7 +122,7 @@
 
     # ---- queries of the round loop ----
 
-    def turned_away(self, operation):
+    def refusal(self, operation):
         """(reason, ms until the client may retry) if the request is refused, else None."""
         self.shedding.on_request(operation)
         if not self.shedding.refuses(operation, self.random.random()):
@@ -127,11 +131,11 @@
         # Half to all of the longest advice, at random: a site takes seconds at least to recover.
         return REFUSAL_REASON, self.retry_advice * (0.5 + 0.5 * self.random.random())
 
-    def told_as(self, address, status):
+    def status_for_decisions(self, address, status):
         """The status by which the decisions are notified of a dispatch's outcome."""
         return self.monitor.status_for_decisions(self.entry(address), status)
 
-    def holds(self, verdict, version):
+    def withholds_vote(self, verdict, version):
         """True if no vote on the build `version` may be cast now."""
         return self.monitor.withholds_vote(verdict, version, self.entries())
 
@@ -187,7 +191,7 @@
             "1 where this proxy takes the zone for lost, cut off or silent",
             labels=("zone",),
         )
-        for name, is_unavailable in self.monitor.away().items():
+        for name, is_unavailable in self.monitor.unavailable().items():
             unavailable.add_metric((name,), is_unavailable)
         yield unavailable
         if self.shedding:
--- a/gannetfront/sites/failure_detector.py
+++ b/gannetfront/sites/failure_detector.py
@@ -50,9 +50,9 @@
         self.state, self.evidence, self.usual_times = UNKNOWN, "", deque(maxlen=USUAL_SAMPLES)
         self.has_answered = False  # since this process started and the zone's nodes were last replaced
         self.failed_at, self.hold_time, self.held_until = None, MIN_HOLD, 0.0
-        self.silent = set()  # nodes that did not answer while the zone was unavailable
+        self.unresponsive_nodes = set()  # nodes that did not answer while the zone was unavailable
         self.reachable = True  # somebody answered when last asked, whatever else is known
-        self.had_ready_nodes, self.unresponsive = (
+        self.had_ready_nodes, self.unresponsive_share = (
             False,
             0.0,
         )  # it once had nodes listed ready; share of the nodes asked lately that did not answer
@@ -80,7 +80,7 @@
             self.outcomes.popleft()
         for zone in self.zones.values():
             if zone.state not in UNAVAILABLE:
-                zone.silent = set()
+                zone.unresponsive_nodes = set()
         by_zone = {z: {} for z in self.zones}
         for _, zone, node, answered, took in self.outcomes:
             counts = by_zone[zone].setdefault(node, [0, 0, []])
@@ -88,7 +88,7 @@
             if answered:
                 counts[2].append(took)
         for name, nodes in by_zone.items():
-            self.zones[name].silent |= {node for node, c in nodes.items() if c[1] and not c[0]}
+            self.zones[name].unresponsive_nodes |= {node for node, c in nodes.items() if c[1] and not c[0]}
         changed = []
         for name, zone in self.zones.items():
             state, evidence = self.state_of(
@@ -111,15 +111,20 @@
             states[name] = UNKNOWN if state in AVAILABLE and not zone.has_answered else state
         return states
 
-    def renewed(self, name, ready):
+    def reset_if_replaced(self, name, ready):
         """Resets an unavailable zone to unknown once none of its unresponsive nodes is listed `ready` any
         more, and returns True then: nothing is known of the new ones. A late list may still name nodes that
         were replaced long ago."""
         zone = self.zones[name]
-        if zone.state not in UNAVAILABLE or not ready or not zone.silent or zone.silent & set(ready):
+        if (
+            zone.state not in UNAVAILABLE
+            or not ready
+            or not zone.unresponsive_nodes
+            or zone.unresponsive_nodes & set(ready)
+        ):
             return False
         self.outcomes = deque((o for o in self.outcomes if o[1] != name), maxlen=MAX_OUTCOMES)
-        zone.state, zone.evidence, zone.silent, zone.reachable, zone.has_answered = (
+        zone.state, zone.evidence, zone.unresponsive_nodes, zone.reachable, zone.has_answered = (
             UNKNOWN,
             "all its nodes were replaced",
             set(),
@@ -136,7 +141,9 @@
         unresponsive = [n for n, c in nodes.items() if c[1] and not c[0]]
         zone.has_answered = zone.has_answered or answered > 0
         zone.reachable = bool(answered) or zone.reachable and unanswered < MIN_OUTCOMES
-        zone.unresponsive = len(unresponsive) / len(nodes) if nodes and unanswered >= MIN_OUTCOMES else 0.0
+        zone.unresponsive_share = (
+            len(unresponsive) / len(nodes) if nodes and unanswered >= MIN_OUTCOMES else 0.0
+        )
         summary = (
             f"{answered} answered, {unanswered} not, at {len(nodes)} nodes; "
             f"{heard_here} of {all_members} proxies heard, {alive} believed alive; "
--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -87,7 +87,7 @@
                 ready[zone].append(entry[0])
                 capacities[zone] += entry[6] * self.warm(now, entry)
         counts = {name: (len(ready[name]), totals[name]) for name in self.names}
-        renewed = [zone for zone in self.names if self.detector.renewed(zone, ready[zone])]
+        renewed = [zone for zone in self.names if self.detector.reset_if_replaced(zone, ready[zone])]
         changes = [
             (zone, self.detector.zones[zone].state, self.detector.zones[zone].evidence) for zone in renewed
         ]
@@ -95,7 +95,7 @@
         if not self.shedding:
             return changes, False, set()
         capacities = {
-            zone: capacity * (1 - self.detector.zones[zone].unresponsive)
+            zone: capacity * (1 - self.detector.zones[zone].unresponsive_share)
             for zone, capacity in capacities.items()
         }
         before = self.shedding.weights
@@ -170,6 +170,6 @@
         """Records whether a probe was answered, after `took` ms."""
         self.detector.on_outcome(now, zone, address, answered, took)
 
-    def away(self):
+    def unavailable(self):
         """{zone: whether it is unavailable}."""
         return {name: zone.state in UNAVAILABLE for name, zone in self.detector.zones.items()}
--- a/gannetfront/sites/shedding.py
+++ b/gannetfront/sites/shedding.py
@@ -25,7 +25,7 @@
 LATENCY_OUTCOMES = 50  # outcomes over which the usual latency is averaged
 IDLE_LATENCY = 1.2  # times the usual latency, up to which the surviving sites are idle
 IDLE_FACTOR = 3  # times DECREASE while they are idle
-MOST_SCALE = 1.1  # of the planned traffic: one busy proxy says little of the fleet
+MAX_SCALE = 1.1  # of the planned traffic: one busy proxy says little of the fleet
 EPSILON = 1e-9  # ms of work a ms
 
 
@@ -47,7 +47,13 @@
         self.usual_ratios = None  # {site: its capacity over that of all others} while all are healthy
         self.requests, self.window = Counter(), deque(maxlen=WINDOW_TICKS)
         self.usual_latency = 0.1  # of dispatches, as a share of the SLO time
-        self.capacity_missing, self.scale, self.need, self.correction, self.shares = False, None, 0.0, 0.0, {}
+        self.capacity_missing, self.scale, self.planned_refusal, self.correction, self.shares = (
+            False,
+            None,
+            0.0,
+            0.0,
+            {},
+        )
         self.judge_from(now)
 
     # ---- observations ----
@@ -142,9 +148,9 @@
         rates = self.request_rates()
         requested_work = sum(rate * self.work[operation] for operation, rate in rates.items())
         self.ticks_unjudged += 1
-        self.update_need(now, requested_work)
+        self.update_planned_refusal(now, requested_work)
         self.update_correction(now)
-        excess, self.shares = (self.need + self.correction) * requested_work, {}
+        excess, self.shares = (self.planned_refusal + self.correction) * requested_work, {}
         for operation in self.refusal_order:
             if excess <= EPSILON:
                 break
@@ -152,8 +158,8 @@
             self.shares[operation] = min(1.0, excess / requested) if requested else 1.0
             excess -= self.shares[operation] * requested
 
-    def update_need(self, now, requested_work):
-        """Sets `need`, the part of the requested work that the plan refuses."""
+    def update_planned_refusal(self, now, requested_work):
+        """Sets `planned_refusal`, the part of the requested work that the plan refuses."""
         capacity_missing = min(self.weights.values()) < 1 or min(self.usable.values()) < PARTLY_LOST_SHARE
         if capacity_missing and not self.capacity_missing:
             self.scale = None
@@ -164,9 +170,11 @@
             # proxy does not know its traffic, as its clients are still reconnecting: the plan's figures count
             # until then (docs/incidents/plan-from-empty-window.md).
             rate = requested_work / self.period
-            self.scale = min(MOST_SCALE, rate / self.planned_work) if self.planned_work else 1.0
+            self.scale = min(MAX_SCALE, rate / self.planned_work) if self.planned_work else 1.0
         demand = self.fleet_work * (self.scale or 1.0)
-        self.need = max(0.0, 1 - self.remaining_work() / demand) if capacity_missing and demand else 0.0
+        self.planned_refusal = (
+            max(0.0, 1 - self.remaining_work() / demand) if capacity_missing and demand else 0.0
+        )
 
     def update_correction(self, now):
         """Adjusts the share refused on top of the plan by how late the surviving sites answer."""
@@ -184,7 +192,7 @@
                 idle = self.latency_sum <= IDLE_LATENCY * self.usual_latency * self.outcomes
                 self.correction -= DECREASE * self.ticks_unjudged * (IDLE_FACTOR if idle else 1)
             self.judge_from(judge_from)
-        self.correction = min(1 - self.need, max(-self.need, self.correction))
+        self.correction = min(1 - self.planned_refusal, max(-self.planned_refusal, self.correction))
 
     def judge_from(self, sent_at):
         """Starts a new judgement, of dispatches sent at `sent_at` or later."""
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -154,8 +154,8 @@
     # A proxy with ten times its planned traffic does not scale the fleet's figures by ten.
     busy = SteadyTraffic(make_shedding(0.8, scale=0.1))
     busy.tick(times=8)
-    assert busy.tick(dict(a=detector.LOST)).need == pytest.approx(
-        1 - 0.85 * 16 / (core.MOST_SCALE * 19.2), abs=0.01
+    assert busy.tick(dict(a=detector.LOST)).planned_refusal == pytest.approx(
+        1 - 0.85 * 16 / (core.MAX_SCALE * 19.2), abs=0.01
     )
 
 
@@ -170,17 +170,20 @@
     traffic.tick()
     planned = 1 - 0.85 * 16 / 19.2
     assert (
-        traffic.tick(dict(a=detector.LOST)).need == pytest.approx(planned, abs=0.01)
+        traffic.tick(dict(a=detector.LOST)).planned_refusal == pytest.approx(planned, abs=0.01)
         and traffic.shedding.shares[0] > 0.2
     )
     traffic.requests = (13, 8, 5)
     for _ in range(3):
         traffic.tick(dict(a=detector.LOST))
-        assert traffic.shedding.need == pytest.approx(planned, abs=0.01) and traffic.shedding.shares[0] > 0.2
+        assert (
+            traffic.shedding.planned_refusal == pytest.approx(planned, abs=0.01)
+            and traffic.shedding.shares[0] > 0.2
+        )
     # If few clients reconnect in the end, their traffic counts: in a quiet hour nothing need be refused.
     quiet = SteadyTraffic(make_shedding(0.8), requests=(4, 2, 2))
     quiet.tick(dict(a=detector.LOST), times=12)
-    assert quiet.shedding.need == 0.0
+    assert quiet.shedding.planned_refusal == 0.0
 
 
 def test_late_answers_have_more_refused_one_step_an_answer_and_the_lack_of_them_less():
@@ -201,7 +204,7 @@
         before + core.INCREASE - core.DECREASE * core.IDLE_FACTOR
     )  # the surviving sites are idle
     traffic.tick(dict(a=detector.LOST), times=200)
-    assert traffic.shedding.need + traffic.shedding.correction == pytest.approx(
+    assert traffic.shedding.planned_refusal + traffic.shedding.correction == pytest.approx(
         0.0, abs=0.01
     ) and not traffic.shedding.shares.get(1)
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -249,9 +249,9 @@
         "the one that is sick was asked by chance"
     )
     assert look(zones, 3000.0, [(0, 9)], THERE, {}, (1, 1))[0][1] == r.UNRESPONSIVE
-    assert not zones.renewed("far", ["n0", "n5"]) and not zones.renewed("far", [])
-    assert zones.renewed("far", ["n5", "n6"]) and zones.zones["far"].state == r.UNKNOWN
-    assert look(zones, 4100.0, [], THERE, {}, (2, 2)) == [] and not zones.renewed("far", ["n7"])
+    assert not zones.reset_if_replaced("far", ["n0", "n5"]) and not zones.reset_if_replaced("far", [])
+    assert zones.reset_if_replaced("far", ["n5", "n6"]) and zones.zones["far"].state == r.UNKNOWN
+    assert look(zones, 4100.0, [], THERE, {}, (2, 2)) == [] and not zones.reset_if_replaced("far", ["n7"])
     assert look(zones, 4200.0, [(1, 0)], THERE, {}, (2, 2))[0][1] == r.HEALTHY
 
 
@@ -384,7 +384,7 @@
             "follows the order",
         ),
         (
-            "from gannetfront.proxy.sites import AtProxy as A\nA.__init__ = lambda self, *x, old=A.__init__: (old(self, *x), setattr(self, 'entries_for_decisions', tuple))[0]",
+            "from gannetfront.proxy.sites import ProxySites as A\nA.__init__ = lambda self, *x, old=A.__init__: (old(self, *x), setattr(self, 'entries_for_decisions', tuple))[0]",
             "nothing new to a site that is lost",
         ),
     ],
