--- a/bench/sites.py
+++ b/bench/sites.py
@@ -164,7 +164,7 @@
 def calm(seed):
     """Zones that were left out at any proxy on a drawn day without a loss: (seed, lines, {zone: looks})."""
     from gannetfront.host import Jitter
-    from gannetfront.lab.sites import world_of
+    from gannetfront.lab.sites import make_world
     from gannetfront.sites.failure_detector import UNAVAILABLE
 
     draw, lines = (
@@ -183,11 +183,11 @@
             + kind.format(x=f"{1.2 + draw.random():.1f}", ms=int(200 + 900 * draw.random()))
             + "\n"
         )
-    world, out = world_of(lab_day(lines, 0.3 + 0.5 * draw.random(), seed)), defaultdict(int)
+    world, out = make_world(lab_day(lines, 0.3 + 0.5 * draw.random(), seed)), defaultdict(int)
     before = defaultdict(int)
     for shell in world.proxies:
 
-        def look(life, shell=shell, inner=shell.look):
+        def tick_sites(life, shell=shell, inner=shell.tick_sites):
             inner(life)
             for zone, weight in shell.shedding.weights.items() if shell.up else ():
                 # Left out though a node of it runs, of those that this proxy's list has: a list may name only what is gone.
@@ -205,14 +205,14 @@
                     before[shell.number, zone] > 1
                 )  # a list that has just come is seen with the next look
 
-        shell.look = look
+        shell.tick_sites = tick_sites
     world.run()
     return seed, lines, dict(out)
 
 
 def cell(job):
     from gannetfront.lab.baselines import POLICIES
-    from gannetfront.lab.sites import world_of
+    from gannetfront.lab.sites import make_world
 
     zones, lost, load, policy, proxies, nodes = job
     day = lab_day(
@@ -225,7 +225,7 @@
         20,
         int(policy == "plan"),
     )
-    world = world_of(day, POLICIES.get(policy))
+    world = make_world(day, POLICIES.get(policy))
     world.run()
     rows = seconds(day, world.rows("tries"))
     return dict(
--- a/gannetfront/cli/lab.py
+++ b/gannetfront/cli/lab.py
@@ -25,11 +25,11 @@
 
     from ..audit.rules import service
     from ..lab.baselines import POLICIES
-    from ..lab.sites import world_of
+    from ..lab.sites import make_world
 
     if policy not in POLICIES:
         raise SystemExit(complain(f"'{policy}' is none of {', '.join(POLICIES)}"))
-    world = world_of(day_of(script_file), POLICIES[policy]).run()
+    world = make_world(day_of(script_file), POLICIES[policy]).run()
     digest = xxhash.xxh64()
     for table in (world.tries, world.served, world.lives, world.told, world.events, world.lines):
         for row in table:
--- a/gannetfront/lab/grid.py
+++ b/gannetfront/lab/grid.py
@@ -19,7 +19,7 @@
 from .. import host, parquet, script
 from ..audit.rules import service
 from .baselines import POLICIES
-from .sites import world_of
+from .sites import make_world
 
 WINDOW = 1000.0  # ms of a row
 COLUMNS = (
@@ -221,7 +221,7 @@
 def play(experiment, cell, digest):
     """One cell as the bytes of a Parquet file; `digest` is the core's, read before any cell was played."""
     day, begun = experiment.day(cell), time.process_time()
-    table, summary = measure(world_of(day, POLICIES[cell["policy"]]).run())
+    table, summary = measure(make_world(day, POLICIES[cell["policy"]]).run())
     took = time.process_time() - begun
     meta = dict(cell=cell, summary=summary, core=digest, text=experiment.text, took=round(took, 2))
     arrow = pa.table({c: pa.array(table[c], pa.float64()) for c in COLUMNS}).replace_schema_metadata(
--- a/gannetfront/lab/sites.py
+++ b/gannetfront/lab/sites.py
@@ -35,7 +35,7 @@
         )
         self.site_random = host.Jitter(world.day.seed * 31 + self.number)
         super().start(kept)
-        world.later(TICK * self.site_random.random(), self.look, self.lives)
+        world.later(TICK * self.site_random.random(), self.tick_sites, self.lives)
 
     def tell(self, *event):
         if event[0] != "listed" or not self.up:
@@ -51,7 +51,7 @@
         self.carrier.events.append(("listed", kind, self.monitor.entries_for_decisions(entries)))
         self.poke()
 
-    def look(self, life):
+    def tick_sites(self, life):
         """Probes, ticks the monitor and applies the result; called every TICK while this process lives."""
         if life != self.lives or not self.up:
             return
@@ -76,7 +76,7 @@
             for flight in list(self.flights.values()):
                 if self.monitor.zone_of(self.listed.get(flight.addr)) in stopped:
                     flight.land(CANCELLED)
-        world.later(TICK, self.look, life)
+        world.later(TICK, self.tick_sites, life)
 
     def told_as(self, flight, status):
         entry = self.listed.get(flight.addr)
@@ -114,6 +114,6 @@
     SHELL, FLIGHT, TRY = SiteAwareShell, Flight, SiteAwareTry
 
 
-def world_of(day, *args, **kwargs):
+def make_world(day, *args, **kwargs):
     """The World that runs a script, with site monitoring if the script turns it on."""
     return (SiteAwareWorld if day.sites and day.sites["acts"] else World)(day, *args, **kwargs)
--- a/tests/test_sites_lab.py
+++ b/tests/test_sites_lab.py
@@ -7,7 +7,7 @@
 
 from gannetfront import script
 from gannetfront.audit import sites as audit
-from gannetfront.lab.sites import world_of
+from gannetfront.lab.sites import make_world
 from gannetfront.sites.failure_detector import UNAVAILABLE
 
 TEXT = """
@@ -112,7 +112,7 @@
 def test_a_site_lost_and_back(name):
     load, lines, min_orders, min_debits, recovery_time = CASES[name]
     day = day_of(load, lines)
-    world = world_of(day)
+    world = make_world(day)
     weights = defaultdict(dict)
     for shell in world.proxies:
         record_weights(shell, weights[shell.number])
@@ -166,20 +166,20 @@
 
 def record_weights(shell, seen):
     """Records the weights of a proxy's sites in `seen` {time: weights} at each tick."""
-    inner = shell.look
+    inner = shell.tick_sites
 
-    def look(life):
+    def tick_sites(life):
         inner(life)
         if life == shell.lives and shell.up:
             seen[shell.world.time] = tuple(shell.shedding.weights.values())
 
-    shell.look = look
+    shell.tick_sites = tick_sites
 
 
 def test_one_that_comes_and_goes_is_left_out_for_longer_each_time():
     lines = "".join(f"at {at} for 3 vanish zone=a share=1\n" for at in (6, 14, 22))
     day = day_of(0.5, lines)
-    world, seen = world_of(day), {}
+    world, seen = make_world(day), {}
     record_weights(world.proxies[0], seen)
     world.run()
 
@@ -208,7 +208,7 @@
 @pytest.mark.parametrize("nth", range(len(OTHER_FAULTS)))
 def test_no_zone_is_left_out_for_troubles_that_are_no_loss(nth):
     day = day_of(0.6, f"offer 4 errors size=0.5\nat 8 for 12 {OTHER_FAULTS[nth]}\n", seed=nth + 20)
-    world, seen, states = world_of(day), {}, set()
+    world, seen, states = make_world(day), {}, set()
     for shell in world.proxies:
         record_weights(shell, seen)
     world.run()
