--- a/gannetfront/calm/storm.py
+++ b/gannetfront/calm/storm.py
@@ -8,12 +8,9 @@
 
 from collections import Counter, deque
 
-SECOND_MS, STORM_BELOW, CALM_FROM, CALM_SECONDS = (
-    1000.0,
-    0.6,
-    0.9,
-    3,
-)  # ms; shares answered in time; seconds of calm that end a storm
+SECOND_MS = 1000.0
+STORM_BELOW, CALM_FROM = 0.6, 0.9  # shares answered in time
+CALM_SECONDS = 3  # seconds of calm that end a storm
 MIN_REQUESTS = 5  # in a second; a share of fewer says nothing
 MAX_ROWS = 64  # of a report
 
@@ -22,7 +19,12 @@
     """Counts of one second that began at `at`, ms."""
 
     def __init__(self, at):
-        self.at, self.requests, self.timely, self.repeats, self.keyed, self.connects = at, 0, 0, 0, 0, 0
+        self.at = at
+        self.requests = 0
+        self.timely = 0
+        self.repeats = 0
+        self.keyed = 0
+        self.connects = 0
         self.failures = Counter()  # dispatches without an answer, by status
         self.by_build = Counter()  # dispatches by (build, answered or not)
 
@@ -32,9 +34,16 @@
     `tick` reports storms."""
 
     def __init__(self, now):
-        self.second, self.seconds, self.usual = Second(now), deque(maxlen=30), deque(maxlen=60)
-        self.keys, self.ready, self.cold, self.listed = {}, 0, 0, 0
-        self.storm, self.calm_seconds, self.refused = None, 0, Counter()
+        self.second = Second(now)
+        self.seconds = deque(maxlen=30)
+        self.usual = deque(maxlen=60)  # requests of seconds without a storm
+        self.keys = {}  # {idempotency key: when it came last, ms}
+        self.ready = 0
+        self.cold = 0
+        self.listed = 0
+        self.storm = None  # kind and begin, during one
+        self.calm_seconds = 0
+        self.refused = Counter()
 
     def on_request(self, now, idempotency_key):
         """Records a request with its idempotency key, or none."""
--- a/gannetfront/lab/sites.py
+++ b/gannetfront/lab/sites.py
@@ -29,10 +29,8 @@
             world.time,
         )
         fleet = world.day.fleet
-        self.monitor, self.listed = (
-            Monitor(world.day.zones, zone, fleet["cold"], fleet["cold_for"], self.shedding),
-            {},
-        )
+        self.monitor = Monitor(world.day.zones, zone, fleet["cold"], fleet["cold_for"], self.shedding)
+        self.listed = {}
         self.site_random = host.Jitter(world.day.seed * 31 + self.number)
         super().start(kept)
         world.later(TICK * self.site_random.random(), self.tick_sites, self.lives)
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -29,34 +29,26 @@
     `staged()` is the last stage received."""
 
     def __init__(self, fleet, mine, facts, rounds, node_list, membership, log, random):
-        self.rounds, self.node_list, self.membership, self.log, self.random = (
-            rounds,
-            node_list,
-            membership,
-            log,
-            random,
-        )
-        self.slo_times, self.operation_names, self.shedding = (
-            [o.slo_time for o in facts.operations],
-            [o.name for o in fleet.operation],
-            None,
-        )
-        self.leading, self.refused, self.retry_advice, self.probe_path = (
-            lambda: False,
-            0,
-            facts.retry_advice,
-            fleet.site_probe.encode(),
-        )
+        self.rounds = rounds
+        self.node_list = node_list
+        self.membership = membership
+        self.log = log
+        self.random = random
+        self.slo_times = [o.slo_time for o in facts.operations]
+        self.operation_names = [o.name for o in fleet.operation]
+        self.shedding = None
+        self.leading = lambda: False
+        self.refused = 0
+        self.retry_advice = facts.retry_advice
+        self.probe_path = fleet.site_probe.encode()
         if fleet.site_acts:
             sites = Sites.of(fleet)
             self.shedding = Shedding(
                 sites, self.operation_names, planned_work(sites, mine, fleet), TICK, host.now()
             )
-            rounds.turned_away, rounds.told_as, rounds.holds = (
-                self.refusal,
-                self.status_for_decisions,
-                self.withholds_vote,
-            )
+            rounds.turned_away = self.refusal
+            rounds.told_as = self.status_for_decisions
+            rounds.holds = self.withholds_vote
         self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as last received
         self.monitor = Monitor(
             list(fleet.zone), mine.zone or fleet.zone[0], facts.cold_share, facts.warm_within, self.shedding
--- a/gannetfront/sites/failure_detector.py
+++ b/gannetfront/sites/failure_detector.py
@@ -17,15 +17,14 @@
 
 from collections import deque
 
-OUTCOME_WINDOW, MAX_OUTCOMES = 1000.0, 4096  # ms; outcomes kept
+OUTCOME_WINDOW = 1000.0  # ms
+MAX_OUTCOMES = 4096  # outcomes kept
 MIN_OUTCOMES = 3  # unanswered dispatches, or answer times, in the window; fewer may be an accident
-PARTIAL_SHARE, SLOW_FACTOR = 0.25, 3.0  # of a zone's nodes unresponsive; times the usual answer time
+PARTIAL_SHARE = 0.25  # of a zone's nodes unresponsive
+SLOW_FACTOR = 3.0  # times the usual answer time
 USUAL_SAMPLES = 200  # answer times kept to estimate the usual one
-RELAPSE_WINDOW, MIN_HOLD, MAX_HOLD = (
-    60000.0,
-    5000.0,
-    120000.0,
-)  # ms: a failure this soon after the one before is a relapse; how long the zone is reported as flapping then
+RELAPSE_WINDOW = 60000.0  # ms; a failure this soon after the one before is a relapse
+MIN_HOLD, MAX_HOLD = 5000.0, 120000.0  # ms for which a zone is reported as flapping after a relapse
 
 UNKNOWN, HEALTHY, SLOW, PARTIAL, UNRESPONSIVE, PARTITIONED, LOST, UNHEARD, ISOLATED, FLAPPING = (
     "not known yet",
@@ -47,26 +46,26 @@
     """What one proxy knows of one zone."""
 
     def __init__(self):
-        self.state, self.evidence, self.usual_times = UNKNOWN, "", deque(maxlen=USUAL_SAMPLES)
+        self.state = UNKNOWN
+        self.evidence = ""
+        self.usual_times = deque(maxlen=USUAL_SAMPLES)
         self.has_answered = False  # since this process started and the zone's nodes were last replaced
-        self.failed_at, self.hold_time, self.held_until = None, MIN_HOLD, 0.0
+        self.failed_at = None
+        self.hold_time = MIN_HOLD
+        self.held_until = 0.0
         self.unresponsive_nodes = set()  # nodes that did not answer while the zone was unavailable
         self.reachable = True  # somebody answered when last asked, whatever else is known
-        self.had_ready_nodes, self.unresponsive_share = (
-            False,
-            0.0,
-        )  # it once had nodes listed ready; share of the nodes asked lately that did not answer
+        self.had_ready_nodes = False  # it once had nodes listed ready
+        self.unresponsive_share = 0.0  # of the nodes asked lately
 
 
 class FailureDetector:
     """Tracks the states of `zones`; `mine` is this proxy's own zone. Times are ms."""
 
     def __init__(self, zones, mine):
-        self.zones, self.mine, self.outcomes = (
-            {z: ZoneView() for z in zones},
-            mine,
-            deque(maxlen=MAX_OUTCOMES),
-        )
+        self.zones = {z: ZoneView() for z in zones}
+        self.mine = mine
+        self.outcomes = deque(maxlen=MAX_OUTCOMES)
 
     def on_outcome(self, now, zone, node, answered, took):
         """Records whether a dispatch to `node` was answered and how many ms that took."""
@@ -124,13 +123,11 @@
         ):
             return False
         self.outcomes = deque((o for o in self.outcomes if o[1] != name), maxlen=MAX_OUTCOMES)
-        zone.state, zone.evidence, zone.unresponsive_nodes, zone.reachable, zone.has_answered = (
-            UNKNOWN,
-            "all its nodes were replaced",
-            set(),
-            True,
-            False,
-        )
+        zone.state = UNKNOWN
+        zone.evidence = "all its nodes were replaced"
+        zone.unresponsive_nodes = set()
+        zone.reachable = True
+        zone.has_answered = False
         return True
 
     def state_of(self, name, zone, nodes, heard, standing, listed):
@@ -178,8 +175,8 @@
             if all_members and alive and not heard_here:
                 return PARTITIONED, summary
             return UNRESPONSIVE, summary
-        # Asked without an answer, but too seldom or at too few nodes to tell the cause: no sign of recovery. Once,
-        # a random choice that asked a single node one time gave a lost zone its traffic back.
+        # Asked without an answer, but too seldom or at too few nodes to tell the cause: no sign of recovery.
+        # Once, a random choice that asked a single node one time gave a lost zone its traffic back.
         if not answered and zone.state in UNAVAILABLE and (nodes or zone.had_ready_nodes):
             return zone.state, summary
         if not answered and zone.state in (ISOLATED, UNHEARD) and not zone.reachable:
--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -74,11 +74,9 @@
         """Returns ([(zone, state, evidence)] of changed states, whether weights changed, zones that get no
         dispatches from now on). `heard` and `standing` as in FailureDetector.tick, `leading`: this proxy
         leads the return."""
-        ready, totals, capacities = (
-            {name: [] for name in self.names},
-            dict.fromkeys(self.names, 0),
-            dict.fromkeys(self.names, 0.0),
-        )
+        ready = {name: [] for name in self.names}
+        totals = dict.fromkeys(self.names, 0)
+        capacities = dict.fromkeys(self.names, 0.0)
         for entry in entries:
             zone = self.zone_of(entry)
             if zone:
--- a/gannetfront/sites/plan.py
+++ b/gannetfront/sites/plan.py
@@ -32,14 +32,12 @@
     first)."""
 
     def __init__(self, capacity, traffic, classes, price, fill=0.85, lean=0.0):
-        self.capacity, self.traffic, self.classes, self.price, self.fill, self.lean = (
-            capacity,
-            traffic,
-            classes,
-            price,
-            fill,
-            lean,
-        )
+        self.capacity = capacity
+        self.traffic = traffic
+        self.classes = classes
+        self.price = price
+        self.fill = fill
+        self.lean = lean
 
     @classmethod
     def of(cls, fleet):
@@ -143,13 +141,11 @@
     capacity in use} and `value` the share of the usual value that remains."""
 
     def __init__(self, sites, lost, remaining, room, served, refused, local):
-        self.sites, self.lost, self.remaining, self.served, self.refused = (
-            sites,
-            lost,
-            remaining,
-            served,
-            refused,
-        )
+        self.sites = sites
+        self.lost = lost
+        self.remaining = remaining
+        self.served = served
+        self.refused = refused
         remote = {z: sites.work(ops) - local.get(z, 0.0) for z, ops in served.items()}
         self.moves = self.distribute(
             {z: w for z, w in remote.items() if w > 1e-9}, {z: room[z] - local[z] for z in remaining}
--- a/gannetfront/sites/shedding.py
+++ b/gannetfront/sites/shedding.py
@@ -47,13 +47,11 @@
         self.usual_ratios = None  # {site: its capacity over that of all others} while all are healthy
         self.requests, self.window = Counter(), deque(maxlen=WINDOW_TICKS)
         self.usual_latency = 0.1  # of dispatches, as a share of the SLO time
-        self.capacity_missing, self.scale, self.planned_refusal, self.correction, self.shares = (
-            False,
-            None,
-            0.0,
-            0.0,
-            {},
-        )
+        self.capacity_missing = False
+        self.scale = None  # of the plan's figures, by this proxy's traffic; None while not known
+        self.planned_refusal = 0.0  # part of the requested work that the plan refuses
+        self.correction = 0.0  # part refused beyond the plan
+        self.shares = {}
         self.judge_from(now)
 
     # ---- observations ----
