--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -40,7 +40,7 @@
     name, ORDERS = "site-return", tuple(ORDER_BY_VERB)
 
     def __init__(self, settings, sites, file, log):
-        """`settings` is the checked Duty, `sites` this proxy's AtProxy, whose plan is acted upon. `file`
+        """`settings` is the checked Duty, `sites` this proxy's ProxySites, whose plan is acted upon. `file`
         persists the last token."""
         self.interval, self.sites, self.log, self.file, self.token = settings.every, sites, log, file, None
         self.site_names = list(sites.shedding.ramps)
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -17,7 +17,7 @@
 from .pools import Pools
 from .rounds import Rounds
 from .signals import Signals
-from .sites import AtProxy
+from .sites import ProxySites
 from .tenants import Listed, Tenants
 
 
@@ -91,7 +91,9 @@
         self.rounds.link, self.rounds.signals = self.link, self.signals
         self.members = Membership(mine, fleet.zone, log, host.chance(mine.seed, 6)) if mine.mate else None
         self.sites = (
-            AtProxy(fleet, mine, facts, self.rounds, self.kept, self.members, log, host.chance(mine.seed, 9))
+            ProxySites(
+                fleet, mine, facts, self.rounds, self.kept, self.members, log, host.chance(mine.seed, 9)
+            )
             if self.members or fleet.site_acts
             else None
         )
@@ -153,8 +155,8 @@
             entries = [e for e, _ in self.kept.nodes.values()]
             ready = [e for e in entries if e[5] == "ready"]
             cold = sum(1 for e in ready if e[7] and host.now() - e[7] < self.warm_within)
-            self.rounds.watch.nodes(len(ready), cold, len(entries))
-            for what, facts in self.rounds.watch.look(host.now()):
+            self.rounds.watch.on_nodes(len(ready), cold, len(entries))
+            for what, facts in self.rounds.watch.tick(host.now()):
                 (self.log.warning if what == "storm" else self.log.info)(what, **facts)
 
     def saw(self, addr, op, status, took):
