--- a/gannetfront/proxy/keeping.py
+++ b/gannetfront/proxy/keeping.py
@@ -1,15 +1,17 @@
-"""How long a kept connection to a node may idle and still be trusted with a request, without I/O.
+"""How long a connection to a node may stay idle and still be trusted with a request. Does no I/O.
 
-Against nodes, and what stands between, that drop idle connections without a word and sooner than they said: a request written
-to such a one ends as a reset that proves nothing, and what must not run twice is lost with it. Told by what it does: connections
-that idled so long break on their next request more often than new ones do. It may hurt where young connections break as well
-for a reason of their own: then more are made anew, which costs handshakes. Samples are the last few of each age and expire, so
-that a longer idling is tried again.
+Some nodes and middleboxes drop idle connections silently, and sooner than announced. A request written to such a
+connection ends in a reset, which doesn't prove that the request was not executed; a side-effecting invocation is then
+lost, as it may not be retried. The symptom is that connections with a given idle time break on their next request
+more often than new ones do. Where new connections break as well, for a reason of their own, the rule may discard more
+connections than needed, which costs handshakes. Samples are the most recent few of each idle time and expire, so that
+longer idle times are tried again.
 """
 
 from collections import deque
 
-AGES = (
+# Lower bounds of the idle time classes, in ms; each class reaches up to the next bound.
+IDLE_BOUNDS_MS = (
     20.0,
     40.0,
     80.0,
@@ -20,43 +22,49 @@
     2560.0,
     5120.0,
     10240.0,
-)  # ms idle; each a class up to the next
-KEPT, MEMORY = 24, 10000.0  # samples a class, and how long each speaks
-MARGIN, LEAST = (
+)
+SAMPLES_PER_CLASS, SAMPLE_TTL_MS = 24, 10000.0
+# A class is distrusted when its share of breaks exceeds that of new connections by the margin, and its number of
+# breaks reaches the minimum.
+BREAK_SHARE_MARGIN, MIN_BREAKS = (
     0.1,
     2,
-)  # share of breaks above new connections' own, and breaks, before a class is not trusted
+)
 
 
 class Keeping:
+    """Estimates the idle time up to which connections are safe to reuse, from how requests on them ended."""
+
     def __init__(self):
-        self.new, self.classes, self.limit, self.at = (
-            deque(maxlen=4 * KEPT),
-            [deque(maxlen=KEPT) for _ in AGES],
+        self.new_samples, self.idle_samples, self.limit, self.next_estimate_at = (
+            deque(maxlen=4 * SAMPLES_PER_CLASS),
+            [deque(maxlen=SAMPLES_PER_CLASS) for _ in IDLE_BOUNDS_MS],
             1e18,
             0.0,
         )
 
-    def saw(self, now, age, broke):
-        """A request on a connection that had idled for `age` ms, or on a new one (None), ended by a break or not."""
-        if age is None or age < AGES[0]:
-            self.new.append((now, broke))
+    def saw(self, now, idle_time, broke):
+        """Records the end of a request on a connection that had been idle for `idle_time` ms, or was new (None).
+
+        `broke` tells whether the connection broke before any byte of an answer."""
+        if idle_time is None or idle_time < IDLE_BOUNDS_MS[0]:
+            self.new_samples.append((now, broke))
             return
-        self.classes[sum(age >= least for least in AGES) - 1].append((now, broke))
+        self.idle_samples[sum(idle_time >= bound for bound in IDLE_BOUNDS_MS) - 1].append((now, broke))
         if broke:
-            self.at = 0.0  # looked at again at once
+            self.next_estimate_at = 0.0  # a break is taken into account at once
 
     def trusted(self, now):
-        """Ms that a connection may have idled."""
-        if now >= self.at:
-            self.at, self.limit = now + 500.0, self.judged(now - MEMORY)
+        """Returns the idle time in ms below which a connection may be reused."""
+        if now >= self.next_estimate_at:
+            self.next_estimate_at, self.limit = now + 500.0, self.estimate(now - SAMPLE_TTL_MS)
         return self.limit
 
-    def judged(self, since):
-        new = [broke for at, broke in self.new if at > since]
-        usual = (sum(new) + 1) / (len(new) + 10)
-        for least, kept in zip(AGES, self.classes):
-            fresh = [broke for at, broke in kept if at > since]
-            if sum(fresh) >= LEAST and sum(fresh) / len(fresh) > usual + MARGIN:
-                return least
+    def estimate(self, since):
+        new = [broke for at, broke in self.new_samples if at > since]
+        baseline = (sum(new) + 1) / (len(new) + 10)
+        for bound, samples in zip(IDLE_BOUNDS_MS, self.idle_samples):
+            recent = [broke for at, broke in samples if at > since]
+            if sum(recent) >= MIN_BREAKS and sum(recent) / len(recent) > baseline + BREAK_SHARE_MARGIN:
+                return bound
         return 1e18
--- a/gannetfront/proxy/pools.py
+++ b/gannetfront/proxy/pools.py
@@ -1,7 +1,7 @@
-"""Connections to nodes: one pool a node, bounded, idle ones closed in time.
+"""Connections to nodes: one bounded pool for each node, with a limit on idle time.
 
-Every exit returns or closes the connection. Only connections on which nothing waits to be read are handed out again:
-a node that closed one meanwhile has a byte or an end waiting there.
+Every code path returns or closes its connection. A connection is reused only while nothing waits to be read on it: if
+the node has closed it meanwhile, a byte or an end of stream waits there.
 """
 
 from .. import host
@@ -9,33 +9,47 @@
 
 
 class Pool:
+    """The connections to one node. All times are in ms."""
+
     def __init__(
-        self, addr, most, idle, connect_limit, connect=host.connect, room=lambda: True, keeping=None
+        self,
+        address,
+        capacity,
+        idle_limit,
+        connect_limit,
+        connect=host.connect,
+        room=lambda: True,
+        keeping=None,
     ):
-        """`connect(addr, limit)` gives a stream that can carry a request, or raises host.Refused; `room()` tells whether
-        one more descriptor may be had; `keeping` how long an idle one is trusted, for all nodes together."""
-        self.addr, self.most, self.idle_limit, self.connect_limit = addr, most, idle, connect_limit
+        """`connect(address, limit)` returns a stream that can carry a request, or raises host.Refused. `room()` tells
+        whether one more descriptor may be opened. `keeping` estimates the safe idle time and is shared by all pools."""
+        self.address, self.capacity, self.idle_limit, self.connect_limit = (
+            address,
+            capacity,
+            idle_limit,
+            connect_limit,
+        )
         self.connect, self.room, self.retired, self.keeping = connect, room, False, keeping or Keeping()
         self.out, self.idle = 0, []  # idle: (since, stream), oldest first
 
     def take(self, limit):
-        """(stream, fresh), or Refused: nothing was sent then, whatever the reason."""
+        """Returns (stream, whether it is new). Raises host.Refused: nothing was sent then, whatever the reason."""
         now = host.now()
         self.close_idle(min(self.idle_limit, self.keeping.trusted(now)))
         while self.idle:
             since, stream = self.idle.pop()
-            # Against the classic double effect: a request written into a connection that the node has closed may
-            # be lost or not; one that shows its end before the first byte is simply not used.
+            # A request written to a connection that the node has closed may or may not have been executed, and a
+            # retry could execute it twice. A connection whose end is visible before the first byte isn't used.
             if not stream.waiting():
                 self.out += 1
                 stream.idled = now - since
                 return stream, False
             stream.close()
-        if self.out + len(self.idle) >= self.most or not self.room():
+        if self.out + len(self.idle) >= self.capacity or not self.room():
             raise host.Refused("pool full")
         self.out += 1
         try:
-            stream = self.connect(self.addr, min(self.connect_limit, limit))
+            stream = self.connect(self.address, min(self.connect_limit, limit))
             stream.idled = None
             return stream, True
         except BaseException:
@@ -43,7 +57,9 @@
             raise
 
     def give(self, stream, reusable, broke=None):
-        """`broke` tells whether the request met a break in place of any byte; None where nothing is known."""
+        """Returns a stream to the pool, or closes it.
+
+        `broke` tells whether the connection broke before any byte of an answer; None if that isn't known."""
         self.out -= 1
         if broke is not None:
             self.keeping.saw(host.now(), stream.idled, broke)
@@ -53,47 +69,58 @@
             stream.close()
 
     def close_idle(self, older_than=0.0):
+        """Closes the connections that have been idle for at least `older_than` ms."""
         end = host.now() - older_than
         while self.idle and self.idle[0][0] <= end:
             self.idle.pop(0)[1].close()
 
 
 class Pools:
-    def __init__(self, most, idle, connect_limit, *ways):
-        self.facts, self.by_addr, self.idle = (most, idle, connect_limit, *ways), {}, idle
+    """The pools of all nodes, by node address."""
+
+    def __init__(self, capacity, idle_limit, connect_limit, *connection_hooks):
+        """The arguments are those of Pool; `connection_hooks` are its optional `connect` and `room`."""
+        self.pool_arguments, self.by_addr, self.idle_limit = (
+            (capacity, idle_limit, connect_limit, *connection_hooks),
+            {},
+            idle_limit,
+        )
         self.keeping = Keeping()
 
-    def of(self, addr):
-        if addr not in self.by_addr:
-            self.by_addr[addr] = Pool(addr, *self.facts, keeping=self.keeping)
-        return self.by_addr[addr]
+    def of(self, address):
+        """Returns the pool of a node, which is created on first use."""
+        if address not in self.by_addr:
+            self.by_addr[address] = Pool(address, *self.pool_arguments, keeping=self.keeping)
+        return self.by_addr[address]
 
-    def close_idle(self, addr):
-        if addr in self.by_addr:
-            self.by_addr[addr].close_idle()
+    def close_idle(self, address):
+        """Closes the idle connections to a node."""
+        if address in self.by_addr:
+            self.by_addr[address].close_idle()
 
-    def retire(self, addr):
-        """What answers there from now on is another process: nothing that was open is used for it."""
-        pool = self.by_addr.pop(addr, None)
+    def retire(self, address):
+        """Drops a node's pool, as another process answers at its address from now on: no open connection is reused."""
+        pool = self.by_addr.pop(address, None)
         if pool:
             pool.retired = True
             pool.close_idle()
 
     def oldest_idle(self):
-        """Closes the connection that has idled longest; False where none does."""
-        some = [pool for pool in self.by_addr.values() if pool.idle]
-        if some:
-            pool = min(some, key=lambda pool: pool.idle[0][0])
+        """Closes the connection that has been idle for the longest time. Returns False if no connection is idle."""
+        candidates = [pool for pool in self.by_addr.values() if pool.idle]
+        if candidates:
+            pool = min(candidates, key=lambda pool: pool.idle[0][0])
             pool.idle.pop(0)[1].close()
-        return bool(some)
+        return bool(candidates)
 
     def sweep(self, listed):
-        """Closes what idled too long; forgets nodes no longer listed that hold nothing."""
-        for addr in list(self.by_addr):
-            pool = self.by_addr[addr]
-            pool.close_idle(self.idle)
-            if not pool.out and not pool.idle and addr not in listed:
-                self.retire(addr)  # who has it in hand and has not begun begins nothing
+        """Closes connections past the idle limit, and drops empty pools of nodes that are not in `listed`."""
+        for address in list(self.by_addr):
+            pool = self.by_addr[address]
+            pool.close_idle(self.idle_limit)
+            if not pool.out and not pool.idle and address not in listed:
+                self.retire(address)  # a dispatch that has the pool but has not started sends nothing
 
     def size(self):
-        return sum(p.out + len(p.idle) for p in self.by_addr.values())
+        """Returns the number of open connections to nodes."""
+        return sum(pool.out + len(pool.idle) for pool in self.by_addr.values())
