--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -1,11 +1,13 @@
-"""What stands between a Balancer and whatever carries it, without I/O: invocations held, dispatches out, timers.
-
-The shell (proxy/rounds.py on sockets, lab/world.py in virtual time) puts events in, calls `step`, and gives the
-functions by which decisions are carried out:
-  launch(held, seq, addr, limit)   send a dispatch; its outcome comes back through `landed`
-  call_off(ident, seq)             stop waiting for one
-  ended(held, kind, facts)         the one final answer stands
-  vote, signal, reload, close_idle, line       as the Writer's, `line` for its log
+"""Connects a Balancer to the code that carries out its decisions, without I/O.
+
+The Carrier keeps the invocations that are owed an answer, numbers the dispatches of each and holds the balancer's
+timers. Its runner (proxy/rounds.py on sockets, lab/world.py in virtual time) appends to `events`, calls `step`, and
+provides the functions that carry out decisions:
+  launch(held, seq, address, limit)   sends a dispatch; its outcome is reported to `landed`
+  call_off(invocation_id, seq)        stops waiting for a dispatch
+  ended(held, kind, details)          is called once with the final answer of an invocation
+  vote, signal, reload, close_idle    as in interface.Writer
+  line(line)                          as Writer.log
 """
 
 from heapq import heappop, heappush
@@ -13,132 +15,142 @@
 from ..interface import MOOT
 
 
-class Held:  # an invocation that is owed its answer
-    __slots__ = "ident", "op", "deadline", "seq", "answer", "extra"
+class Held:
+    """An invocation that is owed its answer.
 
-    def __init__(self, ident, op, deadline, extra):
-        self.ident, self.op, self.deadline, self.extra = ident, op, deadline, extra
-        self.seq, self.answer = 0, None
+    `deadline` is the time in ms by which it must be answered, `next_seq` the number of its next dispatch, `answer` the
+    final answer as (kind, *details) or None, and `extra` belongs to the runner."""
+
+    __slots__ = "ident", "operation", "deadline", "next_seq", "answer", "extra"
+
+    def __init__(self, invocation_id, operation, deadline, extra):
+        self.ident, self.operation, self.deadline, self.extra = invocation_id, operation, deadline, extra
+        self.next_seq, self.answer = 0, None
 
 
 class Carrier:
-    def __init__(self, make, shell):
-        """`make()` gives a fresh Balancer; `shell` has the functions named above."""
-        self.make, self.shell, self.balancer = make, shell, make()
-        self.held, self.timers, self.acts, self.events = {}, [], [], []
-        self.count, self.life, self.ends = 0, 0, {}
-
-    # ---- what comes in ----
-
-    def take(self, op, tenant, key, deadline, left, extra):
-        """A Held; the decisions hear of it in the next step."""
-        self.count += 1
-        held = self.held[self.count] = Held(self.count, op, deadline, extra)
-        self.events.append(("invocation", held.ident, key, op, tenant, left))
+    """Runs the rounds of one Balancer. It is the Writer that the balancer's decisions are written to."""
+
+    def __init__(self, make_balancer, runner):
+        """`make_balancer()` returns a fresh Balancer; `runner` provides the functions listed above."""
+        self.make_balancer, self.runner, self.balancer = make_balancer, runner, make_balancer()
+        self.held, self.timers, self.decisions, self.events = {}, [], [], []
+        # `life` counts the restarts: outcomes of dispatches from before a restart are ignored.
+        self.last_id, self.life, self.ends = 0, 0, {}
+
+    # ---- input ----
+
+    def take(self, operation, tenant, key, deadline, time_left, extra):
+        """Registers an invocation and returns it as a Held. The balancer receives it in the next step."""
+        self.last_id += 1
+        held = self.held[self.last_id] = Held(self.last_id, operation, deadline, extra)
+        self.events.append(("invocation", held.ident, key, operation, tenant, time_left))
         return held
 
-    def end(self, held, kind, *facts):
-        """The one final answer; False if there was one already."""
+    def end(self, held, kind, *details):
+        """Sets the final answer. Returns False if there is one already."""
         if held.answer is not None:
             return False
-        held.answer = (kind, *facts)
-        self.ends[kind, held.op] = self.ends.get((kind, held.op), 0) + 1
-        self.shell.ended(held, kind, facts)
+        held.answer = (kind, *details)
+        self.ends[kind, held.operation] = self.ends.get((kind, held.operation), 0) + 1
+        self.runner.ended(held, kind, details)
         return True
 
-    def leave(self, held, kind="gone", *facts):
-        """The client is gone or its time is up: the decisions are told that nothing is owed any more."""
-        if self.end(held, kind, *facts):
+    def leave(self, held, kind="gone", *details):
+        """Ends an invocation whose client has gone or whose time is up, and informs the balancer."""
+        if self.end(held, kind, *details):
             self.events.append(("client_gone", held.ident))
 
-    def landed(self, held, seq, life, addr, status, took, load):
-        """The outcome of a dispatch; one of an earlier life is nobody's."""
+    def landed(self, held, seq, life, address, status, duration, load):
+        """Reports the outcome of a dispatch. It is ignored if the balancer was restarted since (`life`)."""
         if life == self.life:
             self.events.append(
-                ("outcome", held.ident, seq, addr, status, took, held.answer is not None, load)
+                ("outcome", held.ident, seq, address, status, duration, held.answer is not None, load)
             )
 
     def stands(self, held, seq, life, now):
-        """Whether a dispatch that waited for something is still to be sent: asked right before its first byte."""
+        """Tells whether a dispatch that had to wait is still to be sent. Asked right before its first byte is sent."""
         return life == self.life and held.answer is None and self.balancer.stands(now, held.ident, seq)
 
     def due(self):
-        """When the next timer is due, or None."""
+        """Returns the time of the next timer, or None."""
         return self.timers[0][0] if self.timers else None
 
     # ---- the round ----
 
     def step(self, now):
-        """One round with all that came in; then the decisions are carried out."""
+        """Runs one round with all events received so far, then carries out its decisions."""
         events, self.events = self.events, []
         while self.timers and self.timers[0][0] <= now:
             events.append(("timer", heappop(self.timers)[1]))
-        self.acts = []
+        self.decisions = []
         self.balancer.round(now, events, self)
         for event in events:
-            # Held until the decisions know its end: only then do they send nothing more for it.
+            # Dropped only after the balancer has received the end: from then on it sends nothing more for it.
             if event[0] == "client_gone" or event[0] == "outcome" and event[6]:
                 self.held.pop(event[1], None)
-        acts, self.acts = self.acts, []
-        for act, fields in acts:
-            act(*fields)
+        decisions, self.decisions = self.decisions, []
+        for carry_out, arguments in decisions:
+            carry_out(*arguments)
 
     def restart(self):
-        """Fresh decisions: all that is held ends at once, terminated; what is out reports to nobody, as the fresh
-        ones know neither it nor, perhaps, its node. Nothing is sent again: what ran is not known any more."""
+        """Starts over with a fresh balancer, and ends every held invocation as terminated.
+
+        Dispatches in flight are ignored from now on, as the fresh balancer knows neither them nor, possibly, their
+        nodes. Nothing is sent again, as it is no longer known what was executed."""
         held, self.held, self.life = self.held, {}, self.life + 1
         for one in held.values():
             self.end(one, "terminated", False)
-        self.balancer, self.timers, self.acts, self.events = self.make(), [], [], []
+        self.balancer, self.timers, self.decisions, self.events = self.make_balancer(), [], [], []
 
-    # ---- the writer: decisions are carried out after the round that made them ----
+    # ---- interface.Writer: decisions are carried out after the round that made them ----
 
-    def dispatch(self, ident, addr, limit):
-        held = self.held[ident]
-        self.acts.append((self.do_dispatch, (held, held.seq, addr, limit)))
-        held.seq += 1
+    def dispatch(self, invocation_id, address, limit):
+        held = self.held[invocation_id]
+        self.decisions.append((self.launch_unless_answered, (held, held.next_seq, address, limit)))
+        held.next_seq += 1
 
-    def do_dispatch(self, held, seq, addr, limit):
+    def launch_unless_answered(self, held, seq, address, limit):
         if held.answer is not None:
-            # Ended between the round's events and now: the dispatch is never sent.
-            self.events.append(("outcome", held.ident, seq, addr, MOOT, 0.0, True, {}))
+            # Answered between the round's events and now: the dispatch is not sent.
+            self.events.append(("outcome", held.ident, seq, address, MOOT, 0.0, True, {}))
         else:
-            self.shell.launch(held, seq, addr, limit)
+            self.runner.launch(held, seq, address, limit)
 
-    def cancel(self, ident, seq):
-        self.acts.append((self.shell.call_off, (ident, seq)))
+    def cancel(self, invocation_id, seq):
+        self.decisions.append((self.runner.call_off, (invocation_id, seq)))
 
-    def throttle(self, ident, retry_in):
-        self.acts.append((self.do_end, (ident, "throttled", retry_in)))
+    def throttle(self, invocation_id, retry_in):
+        self.decisions.append((self.end_by_id, (invocation_id, "throttled", retry_in)))
 
-    def terminate(self, ident):
-        self.acts.append((self.do_end, (ident, "terminated")))
+    def terminate(self, invocation_id):
+        self.decisions.append((self.end_by_id, (invocation_id, "terminated")))
 
-    def do_end(self, ident, kind, *facts):
-        held = self.held.pop(ident, None)
+    def end_by_id(self, invocation_id, kind, *details):
+        held = self.held.pop(invocation_id, None)
         if held:
-            self.end(held, kind, *facts)
+            self.end(held, kind, *details)
 
     def vote(self, stage, ver, verdict):
-        self.acts.append((self.shell.vote, (stage, ver, verdict)))
+        self.decisions.append((self.runner.vote, (stage, ver, verdict)))
 
     def signal(self, target, payload):
-        self.acts.append((self.shell.signal, (target, payload)))
+        self.decisions.append((self.runner.signal, (target, payload)))
 
     def subscribe(self, enable):
         self.reload()
 
     def reload(self):
-        self.acts.append((self.shell.reload, ()))
+        self.decisions.append((self.runner.reload, ()))
 
-    def close_idle(self, addr):
-        self.acts.append((self.shell.close_idle, (addr,)))
+    def close_idle(self, address):
+        self.decisions.append((self.runner.close_idle, (address,)))
 
-    def probe(self, addr):
-        """Never asked for: settings do not offer probes."""
+    def probe(self, address):
+        """Does nothing: settings do not offer probes, so no probe is requested."""
 
     def timer(self, at, key):
         heappush(self.timers, (at, key))
 
     def log(self, line):
-        self.shell.line(line)
+        self.runner.line(line)
--- a/gannetfront/proxy/flights.py
+++ b/gannetfront/proxy/flights.py
@@ -1,96 +1,114 @@
-"""One dispatch on a socket, and what each thing that can happen there proves. The table is docs/proxy.md's.
+"""One dispatch on a socket, and the status that each way of ending proves. The table is in docs/proxy.md.
 
-What proves that nothing ran: no connection, no byte written, or the node's own word that it has not begun. One byte
-out and anything but a whole answer: it may have run. Under a protocol whose nodes begin at the last byte (the reader's
-`begins_whole`) that byte is the one that counts. The protocol itself is the reader's.
+A dispatch was certainly not executed if there was no connection, if no byte was written, or if the node itself says
+that it has not begun. Once a byte was written, anything but a complete answer means that it may have been executed.
+Under a protocol whose nodes begin only at the last byte (`begins_whole` of the reader), that byte counts instead.
+The protocol itself is the reader's.
 """
 
 from .. import host
 from ..interface import CANCELLED, FULL, MOOT, RESET, TIMEOUT, UNCONNECTED
 from ..wire import BadAnswer
 
-# Why there is no connection, where that says nothing of whether the node is there: it said that it takes no more, this
-# proxy has none to spare, or the list has just left it out. Nothing ran either way.
-TURNED = {"turned away": FULL, "pool full": MOOT, "emfile": MOOT, "enfile": MOOT, "not listed": MOOT}
+# Reasons for a missing connection that do not tell whether the node is there: it takes no more connections, this proxy
+# has none to spare, or the node list has just dropped it. The dispatch was not executed in any of these cases.
+STATUS_BY_REFUSAL = {
+    "turned away": FULL,
+    "pool full": MOOT,
+    "emfile": MOOT,
+    "enfile": MOOT,
+    "not listed": MOOT,
+}
 
 
 class Flight:
-    def __init__(self, addr, pack, limit, reader, stands=lambda waited: True):
-        """`pack(left)` words the request for a node that is told of `left` ms; `stands(waited)` asks whether it is still to be
-        sent, with whatever it had to wait for."""
-        self.addr, self.pack, self.limit, self.reader, self.stands = addr, pack, limit, reader, stands
+    """A dispatch in flight to the node at `addr`. Setting `stop` calls it off; `begun` is its start in ms."""
+
+    def __init__(self, addr, encode, limit, reader, still_wanted=lambda waited: True):
+        """`encode(time_left)` returns the request's bytes, with the ms that the node has left. `limit` is the time
+        limit in ms and `reader` reads the answer. `still_wanted(waited)` tells whether the dispatch is still to be
+        sent, where `waited` tells whether it had to wait for a disk or a connection."""
+        self.addr, self.encode, self.limit, self.reader, self.still_wanted = (
+            addr,
+            encode,
+            limit,
+            reader,
+            still_wanted,
+        )
         self.stop, self.begun, self.waited = host.Once(), host.now(), False
 
-    def waited_for(self):
-        """From here on: what the wait took was no node's doing."""
-        self.limit, self.begun, self.waited = self.left(), host.now(), True
+    def exclude_wait(self):
+        """Starts the clock again: the time until now was not spent at the node."""
+        self.limit, self.begun, self.waited = self.time_left(), host.now(), True
 
-    def left(self):
+    def time_left(self):
+        """Returns the ms until the time limit."""
         return self.begun + self.limit - host.now()
 
     def fly(self, pool):
-        """(status, whole answer or None). Blocks for at most the limit."""
+        """Sends the dispatch and returns (status, complete answer or None). Blocks at most for the time limit."""
         while True:
             if self.stop.ready() or pool.retired:
                 return MOOT, None
-            if self.left() <= 0:
+            if self.time_left() <= 0:
                 return UNCONNECTED, None
             try:
-                stream, fresh = pool.take(self.left())
-            except host.Refused as trouble:
-                return TURNED.get(trouble.kind, UNCONNECTED), None
+                stream, fresh = pool.take(self.time_left())
+            except host.Refused as refusal:
+                return STATUS_BY_REFUSAL.get(refusal.kind, UNCONNECTED), None
             status, answer, broke, unused = UNCONNECTED, None, None, False
             try:
-                # The one place that looks again right before the first byte. While a disk or a connection was waited for, the
-                # client may have left, the node been told to end, its name become another process's, the build been taken
-                # back, its share of the traffic used up; and what the node is told of the time is what is left by now.
+                # The only check right before the first byte. While the dispatch waited for a disk or a connection, the
+                # client may have left, the node been told to end, its address been taken by another process, the build
+                # been rolled back or its share of the traffic been used up. The node gets the time left as of now.
                 if (
                     self.stop.ready()
                     or pool.retired
-                    or self.left() <= 0
-                    or not self.stands(fresh or self.waited)
+                    or self.time_left() <= 0
+                    or not self.still_wanted(fresh or self.waited)
                 ):
                     unused = True
                     return MOOT, None
-                status, answer = self.exchange(stream, self.pack(self.left()))
-                broke = True if status == RESET and not self.heard else False if answer else None
+                status, answer = self.exchange(stream, self.encode(self.time_left()))
+                broke = True if status == RESET and not self.received_any else False if answer else None
             finally:
                 pool.give(stream, unused or answer is not None and answer.reusable, broke)
-            # A kept connection that breaks before the first byte has carried nothing: another may be tried.
+            # A reused connection that breaks before the first byte has carried nothing: another one may be tried.
             if status != UNCONNECTED or fresh:
                 return status, answer
 
     def exchange(self, stream, data):
-        stream.sent, self.heard, unsent = (
+        """Writes the request and reads its answer; returns (status, reader of a complete answer or None)."""
+        stream.sent, self.received_any, not_begun = (
             0,
             False,
             lambda: stream.sent < (len(data) if self.reader.begins_whole else 1),
         )
         try:
-            if not stream.send_or(self.stop, data, max(1.0, self.left())):
+            if not stream.send_or(self.stop, data, max(1.0, self.time_left())):
                 stream.reset()
-                return (MOOT if unsent() else CANCELLED), None
+                return (MOOT if not_begun() else CANCELLED), None
         except host.Timeout:
-            return (UNCONNECTED if unsent() else TIMEOUT), None
+            return (UNCONNECTED if not_begun() else TIMEOUT), None
         except OSError:
-            if unsent():
+            if not_begun():
                 return UNCONNECTED, None
-            # The node may have answered and closed before the request was whole: read what it said.
+            # The node may have answered and closed before it had read the whole request: read its answer.
         reader = self.reader
         while not reader.whole:
             try:
-                came = stream.recv_or(self.stop, 65536, max(1.0, self.left()))
-                if came is None:
+                chunk = stream.recv_or(self.stop, 65536, max(1.0, self.time_left()))
+                if chunk is None:
                     stream.reset()
                     return CANCELLED, None
-                self.heard = self.heard or bool(came)
-                reader.feed(came)
+                self.received_any = self.received_any or bool(chunk)
+                reader.feed(chunk)
             except host.Timeout:
                 return TIMEOUT, None
             except (OSError, BadAnswer):
                 return RESET, None
-            if not came and not reader.whole:
+            if not chunk and not reader.whole:
                 return RESET, None
         if stream.sent < len(data):
-            reader.extra = True  # the node still owes the rest a reading: its connection is not used again
+            reader.extra = True  # the node has not read the rest of the request: the connection is not reused
         return reader.outcome(), reader
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -1,7 +1,8 @@
-"""The round loop on sockets: the one greenlet that steps a Carrier; dispatches fly in greenlets of their own.
+"""The round loop on sockets: one greenlet steps the Carrier, and each dispatch runs in a greenlet of its own.
 
-Everyone else puts events into its box. What a full box means: a new invocation is not taken (throttled unseen),
-anything else waits for room, as it must not be lost. A first success reaches its client at once, without a round.
+Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is refused, which is
+throttled before anything was executed; other events wait for room, as they must not be lost. The first success is
+handed to its client at once, without waiting for a round.
 """
 
 from .. import host
@@ -12,7 +13,12 @@
 from .flights import Flight
 
 
-class Asked:  # what of an invocation its dispatches carry; its content is read by the codec alone
+class Request:
+    """What the dispatches of an invocation need of its client's request. Only the codec reads `content`.
+
+    `done` is set with the final answer, `begun` is the time of arrival in ms and `gone()` tells whether the client has
+    closed its connection."""
+
     __slots__ = "content", "name", "done", "begun", "tenant", "gone"
 
     def __init__(self, content, name, tenant):
@@ -23,88 +29,100 @@
             host.Once(),
             host.now(),
         )
-        self.gone = lambda: False  # what the client's own socket says, whoever has read it
+        self.gone = lambda: False  # replaced by the client's connection, whoever has read from it
 
 
 class Rounds:
-    def __init__(self, make, tick, most_held, answer_limit, pools, log, me, codec):
-        """`make()` gives a fresh Balancer: at the start, and again should a round ever raise. `codec` is the protocol to
-        nodes: name_of(content), dispatch(content, addr, name, seq, limit) and Reply(limit), a reader of answers."""
-        self.tick, self.most_held, self.answer_limit, self.codec = tick, most_held, answer_limit, codec
-        self.pools, self.logger, self.name = pools, log, b"proxy/%d" % me
-        self.box, self.flights, self.last = host.Mailbox(4 * most_held + 4096), {}, -1e9
-        self.link, self.signals, self.said, self.why = None, None, "", b""
+    """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets."""
+
+    def __init__(self, make_balancer, tick, max_held, answer_limit, pools, log, number, codec):
+        """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is the least
+        time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this proxy's. `codec` is the
+        protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit) and Reply(limit), a reader of
+        answers."""
+        self.tick, self.max_held, self.answer_limit, self.codec = tick, max_held, answer_limit, codec
+        self.pools, self.logger, self.name = pools, log, b"proxy/%d" % number
+        self.mailbox, self.flights, self.last_round = host.Mailbox(4 * max_held + 4096), {}, -1e9
+        self.link, self.signals, self.last_line, self.why = None, None, "", b""
         self.wait, self.turned_away = (
             0.0,
-            lambda op: None,
-        )  # (why, ms) for an invocation that nothing is tried for now
+            lambda operation: None,
+        )  # turned_away: (reason, ms) for an invocation that is refused now
         self.told_as, self.holds = (
-            lambda addr, status: status,
+            lambda address, status: status,
             lambda verdict, ver: False,
-        )  # what of outcomes and votes goes on
-        self.carrier, self.spent, self.rounds = Carrier(make, self), 0.0, 0
+        )  # the status as the balancer gets it, and whether a vote is withheld
+        self.carrier, self.spent, self.rounds = Carrier(make_balancer, self), 0.0, 0
         self.observe, self.trail, self.must = lambda *fields: None, None, ()
-        self.watch, self.slo_times, self.advice = Watch(host.now()), (), lambda op: 0.0
-        self.close_idle, self.refill, self.build_of = pools.close_idle, lambda: None, lambda addr: 0
+        self.watch, self.slo_times, self.advice = Watch(host.now()), (), lambda operation: 0.0
+        self.close_idle, self.refill, self.build_of = pools.close_idle, lambda: None, lambda address: 0
 
     held = property(lambda self: self.carrier.held)
     balancer = property(lambda self: self.carrier.balancer)
     ends = property(lambda self: self.carrier.ends)
 
     def tell(self, *event):
-        """An event for the decisions from another greenlet."""
-        while not self.box.put(event):
+        """Puts an event for the balancer into the mailbox, from another greenlet. Waits while it is full."""
+        while not self.mailbox.put(event):
             host.sleep(1)
 
-    def know(self, facts, come_back, spread):
-        """The settings' figures for what is told of invocations that the decisions never saw: `advice(op)` in ms."""
-        self.slo_times = [o.slo_time for o in facts.operations]
-        self.advice = lambda op: come_back(facts.retry_advice, self.slo_times[op], spread.random())
+    def know(self, deployment, come_back, generator):
+        """Sets the SLO times, and the retry advice in ms for invocations that the balancer never got.
+
+        `generator` spreads the advice, so that clients do not return together."""
+        self.slo_times = [o.slo_time for o in deployment.operations]
+        self.advice = lambda operation: come_back(
+            deployment.retry_advice, self.slo_times[operation], generator.random()
+        )
 
     def wake(self):
-        """What was put straight into the carrier is met in the next round."""
-        self.box.put(None)
-
-    def take(self, op, tenant, key, left, *content):
-        """A Held, or None when it was not taken; `why` says why, `wait` after how many ms it may come back."""
-        refused = self.turned_away(op)
-        if refused:
-            self.watch.answered("throttled", False, tenant, op)
-        elif len(self.held) >= self.most_held or len(self.box) >= self.box.most - 1024:
-            refused = b"too much is held here", self.advice(op)
-        elif self.trail and self.must[op] and self.trail.refuses():
-            refused = (
+        """Starts a round for events that were appended directly to the carrier's."""
+        self.mailbox.put(None)
+
+    def take(self, operation, tenant, key, time_left, *content):
+        """Returns the Held of a new invocation, or None if it is refused.
+
+        `why` then holds the reason and `wait` the ms after which the client may retry."""
+        refusal = self.turned_away(operation)
+        if refusal:
+            self.watch.answered("throttled", False, tenant, operation)
+        elif len(self.held) >= self.max_held or len(self.mailbox) >= self.mailbox.most - 1024:
+            refusal = b"too much is held here", self.advice(operation)
+        elif self.trail and self.must[operation] and self.trail.refuses():
+            refusal = (
                 b"it cannot be written down now",
-                self.advice(op),
-            )  # nothing ran; who needs no disk goes on
-        if refused:
-            self.why, self.wait = refused
+                self.advice(operation),
+            )  # nothing was executed; operations that need no disk are still served
+        if refusal:
+            self.why, self.wait = refusal
             return None
-        asked = Asked(content, self.codec.name_of(content), tenant)
-        held = self.carrier.take(op, tenant, key, host.now() + left, left, asked)
+        request = Request(content, self.codec.name_of(content), tenant)
+        held = self.carrier.take(operation, tenant, key, host.now() + time_left, time_left, request)
         self.wake()
         return held
 
-    def leave(self, held, kind="gone", *facts):
-        self.carrier.leave(held, kind, *facts)
+    def leave(self, held, kind="gone", *details):
+        """Ends an invocation whose client has gone or whose time is up."""
+        self.carrier.leave(held, kind, *details)
         self.wake()
 
     # ---- the loop ----
 
     def run(self):
+        """Runs a round whenever there are events or a timer is due, at most one in each `tick`."""
         while True:
             due = self.carrier.due()
-            first = self.box.take(None if due is None else due - host.now())
-            early = self.last + self.tick - host.now()
+            first = self.mailbox.take(None if due is None else due - host.now())
+            early = self.last_round + self.tick - host.now()
             if early > 0:
                 host.sleep(early)
-            now = self.last = host.now()
-            self.carrier.events += [e for e in ([first] if first else []) + self.box.drain() if e]
+            now = self.last_round = host.now()
+            self.carrier.events += [e for e in ([first] if first else []) + self.mailbox.drain() if e]
             try:
                 self.carrier.step(now)
-            except Exception as trouble:  # noqa: BLE001 - a fault there must not lose what is held
+            except Exception as error:  # noqa: BLE001 - an error in the balancer must not lose the held invocations
                 self.logger.error(
-                    "decisions failed", why=f"{type(trouble).__name__}: {trouble}", held=len(self.held)
+                    "decisions failed", why=f"{type(error).__name__}: {error}", held=len(self.held)
                 )
                 for flight in self.flights.values():
                     flight.stop.set()
@@ -115,26 +133,29 @@
             self.rounds += 1
             self.spent += host.now() - now
 
-    # ---- carrying out ----
+    # ---- carrying out decisions ----
 
-    def ended(self, held, kind, facts):
-        if kind == "terminated" and not facts:
+    def ended(self, held, kind, details):
+        """Records the final answer of an invocation and wakes the greenlet of its client."""
+        if kind == "terminated" and not details:
             held.answer = kind, host.now() >= held.deadline - 5
-        in_time = kind == "succeeded" and host.now() - held.extra.begun <= self.slo_times[held.op]
-        self.watch.answered(kind, in_time, held.extra.tenant, held.op)
+        in_time = kind == "succeeded" and host.now() - held.extra.begun <= self.slo_times[held.operation]
+        self.watch.answered(kind, in_time, held.extra.tenant, held.operation)
         if self.trail:
-            self.trail.append("answer", request=held.extra.name, op=held.op, answer=kind)
+            self.trail.append("answer", request=held.extra.name, op=held.operation, answer=kind)
         held.extra.done.set()
 
-    def call_off(self, ident, seq):
-        flight = self.flights.get((ident, seq))
+    def call_off(self, invocation_id, seq):
+        """Stops waiting for a dispatch."""
+        flight = self.flights.get((invocation_id, seq))
         if flight:
             flight.stop.set()
 
-    def launch(self, held, seq, addr, limit):
+    def launch(self, held, seq, address, limit):
+        """Starts a dispatch in a greenlet of its own."""
         life = self.carrier.life
 
-        def stands(waited):
+        def still_wanted(waited):
             return (
                 held.answer is None
                 and not held.extra.gone()
@@ -142,28 +163,28 @@
             )
 
         flight = self.flights[held.ident, seq] = Flight(
-            addr,
-            lambda left: self.codec.dispatch(held.extra.content, addr, self.name, seq, left),
+            address,
+            lambda time_left: self.codec.dispatch(held.extra.content, address, self.name, seq, time_left),
             limit,
             self.codec.Reply(self.answer_limit),
-            stands,
+            still_wanted,
         )
-        # The pool as of now: what a list calls by this name later is another process than the one decided upon.
-        host.spawn(self.fly, held, seq, flight, life, self.pools.of(addr))
+        # The pool as of now: a later list may give the address to another process than the one that was chosen.
+        host.spawn(self.fly, held, seq, flight, life, self.pools.of(address))
 
     def fly(self, held, seq, flight, life, pool):
         try:
             status, answer = self.recorded(held, seq, flight, pool)
-        except Exception as trouble:  # noqa: BLE001 - whatever a node's bytes led to, its dispatch must have an outcome
-            # Without one the decisions believe it out for ever: its client waits, its node looks loaded.
-            self.logger.error("dispatch failed", why=f"{type(trouble).__name__}: {trouble}", node=flight.addr)
+        except Exception as error:  # noqa: BLE001 - whatever a node's bytes caused, its dispatch must have an outcome
+            # Without one the balancer takes it to be in flight for ever: its client waits, its node looks loaded.
+            self.logger.error("dispatch failed", why=f"{type(error).__name__}: {error}", node=flight.addr)
             status, answer = RESET, None
         if status == SUCCEEDED:
             self.carrier.end(held, SUCCEEDED, *answer.content())
-        took = host.now() - flight.begun
+        duration = host.now() - flight.begun
         if life == self.carrier.life:
             del self.flights[held.ident, seq]
-            self.observe(flight.addr, held.op, status, took)
+            self.observe(flight.addr, held.operation, status, duration)
             self.watch.dispatched(self.build_of(flight.addr), status, status == SUCCEEDED)
             self.carrier.landed(
                 held,
@@ -171,42 +192,49 @@
                 life,
                 flight.addr,
                 self.told_as(flight.addr, status),
-                took,
+                duration,
                 answer.load() if answer else {},
             )
             self.wake()
 
     def recorded(self, held, seq, flight, pool):
-        """A dispatch; one that must not run twice only once its intent is on disk. Where that cannot be written it is not
-        sent: nothing ran, so its client may be told that a repeat is harmless."""
-        if not self.trail or not self.must[held.op]:
+        """Runs a dispatch; returns (status, complete answer or None).
+
+        A dispatch that must not be executed twice is sent only once its intent is on disk. If the intent can't be
+        written the dispatch is not sent: nothing was executed, so the client may be told that a retry is harmless."""
+        if not self.trail or not self.must[held.operation]:
             return flight.fly(pool)
-        facts = dict(request=held.extra.name, op=held.op, seq=seq, node=flight.addr)
+        record = dict(request=held.extra.name, op=held.operation, seq=seq, node=flight.addr)
         try:
-            self.trail.written("intent", max(1.0, flight.left()), **facts)
+            self.trail.written("intent", max(1.0, flight.time_left()), **record)
         except Refused:
-            # It may reach the disk yet: whoever reads it there must know that nothing was sent.
-            self.trail.append("outcome", status=MOOT, **facts)
+            # The intent may still reach the disk: a reader of the trail must learn that nothing was sent.
+            self.trail.append("outcome", status=MOOT, **record)
             return MOOT, None
-        flight.waited_for()
+        flight.exclude_wait()
         status, answer = flight.fly(pool)
-        self.trail.append("outcome", status=status, **facts)
+        self.trail.append("outcome", status=status, **record)
         return status, answer
 
     def vote(self, stage, ver, verdict):
+        """Casts a vote, unless it is withheld."""
         if self.holds(verdict, ver):
-            # As one that did not get through: cast again soon. Not by `tell`, as this is who empties the box.
+            # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait for ever
+            # here, as this greenlet is the one that empties the mailbox.
             self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
             self.wake()
             return
-        self.link.vote(stage, ver, verdict, self.said)
+        self.link.vote(stage, ver, verdict, self.last_line)
 
     def signal(self, target, payload):
+        """Sends a datagram to a peer, or to all ("*")."""
         self.signals.send(target, payload)
 
     def reload(self):
+        """Asks the controller for the whole node list."""
         self.link.ask_whole()
 
     def line(self, line):
-        self.said = line
+        """Logs a line of the balancer. The last one goes with the next vote as its figures."""
+        self.last_line = line
         self.logger.info("decision", line=line)
