--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -1,4 +1,4 @@
-"""The client side of the proxy: requests read, held while the decisions work, answered once."""
+"""The client side of the proxy: reads requests, holds them while the balancer works and answers each once."""
 
 from .. import host
 from ..interface import SUCCEEDED
@@ -6,60 +6,77 @@
 from ..wire import http, invocation
 
 MAX_PIPELINED = 16  # requests read ahead on one connection
-READ_AHEAD = 65536  # bytes kept of what comes behind those, or behind what is bad, so that the client's close is still seen
-MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE = (
+MAX_READ_AHEAD = (
+    65536  # bytes kept beyond those, or behind a bad request, so that the client's close is still seen
+)
+MAX_LINGERING, LINGER_TIMEOUT_MS, LINGER_SIZE = (
     64,
     2000.0,
     1 << 20,
-)  # connections, ms and bytes read behind a last answer
+)  # connections, ms and bytes read after a last answer
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-LATER_IN = 1000.0  # ms after which one that waits for a younger view may come back
-WRITE_TIMEOUT = 5000.0  # a client that does not read its answer for so long is cut off
+STALE_TENANTS_RETRY_MS = 1000.0  # retry advice while the tenant list is too old
+WRITE_TIMEOUT_MS = 5000.0  # a client that doesn't read its answer for this long is disconnected
 
 
 class Clients:
-    def __init__(self, rounds, operations, admit, limits, margins, read_limit, idle_limit, inside, log):
-        """`operations` maps names in bytes to an index; `admit(tenant, op)` gives (verdict of tenancy.py, number);
-        `limits` are bytes of header and body; `margins[op]` is (time limit, margin) in ms; `inside(path)` answers what is asked of the proxy itself."""
+    """The connections of clients. `open` holds all of them, `busy` those with a request under way."""
+
+    def __init__(
+        self, rounds, operations, admit, limits, margins, read_limit, idle_limit, internal_page, log
+    ):
+        """`operations` maps names in bytes to an index. `admit(tenant, operation)` returns (verdict, number) as in
+        tenancy.py. `limits` are the bytes of headers and body. `margins[operation]` is (time limit, margin) in ms.
+        `read_limit` is the time for one request and `idle_limit` the time between requests, in ms.
+        `internal_page(path, keep)` answers requests to the proxy itself."""
         self.rounds, self.operations, self.admit, self.limits = rounds, operations, admit, limits
-        self.margins, self.read_limit, self.idle_limit, self.inside = margins, read_limit, idle_limit, inside
+        self.margins, self.read_limit, self.idle_limit, self.internal_page = (
+            margins,
+            read_limit,
+            idle_limit,
+            internal_page,
+        )
         self.log, self.stopping, self.open, self.busy = log, False, set(), set()
-        self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE)
+        self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT_MS, LINGER_SIZE)
 
     def handle(self, stream):
+        """Serves one connection until it ends, and closes it."""
         self.rounds.watch.connected()
         self.open.add(stream)
         close = stream.close
         try:
-            if self.converse(stream):
+            if self.serve(stream):
 
                 def close():
                     return self.lingering.close(stream)
         except (OSError, host.Timeout):
-            pass  # a client that broke off or does not read: nobody is there to be told
+            pass  # the client disconnected or does not read: there is nobody to answer
         finally:
             close()
             self.open.discard(stream)
             self.busy.discard(stream)
 
-    def converse(self, stream):
-        """True where it was ended here, with a last answer that the client may not have read while it still writes."""
-        reader, bad = http.RequestReader(*self.limits), None
-        came = host.now()
+    def serve(self, stream):
+        """Serves the requests of a connection.
+
+        Returns True if the proxy ended it: the client may still be writing and not have read its last answer."""
+        reader, bad_request = http.RequestReader(*self.limits), None
+        arrived = host.now()
         while True:
-            while not reader.ready and not bad:
+            while not reader.ready and not bad_request:
                 if reader.ahead:
                     data, reader.ahead = reader.ahead, b""
-                    bad = self.feed(reader, data)
+                    bad_request = self.feed(reader, data)
                     continue
                 if not reader.begun:
                     self.busy.discard(stream)
                 try:
-                    # From its first byte on a request has one time in all: a byte a second keeps nothing open.
-                    left = came + self.read_limit - host.now() if reader.begun else self.idle_limit
-                    if left <= 0:
+                    # The time limit is for the whole request, from its first byte on: a client that sends a byte a
+                    # second must not keep its connection open for ever.
+                    time_left = arrived + self.read_limit - host.now() if reader.begun else self.idle_limit
+                    if time_left <= 0:
                         raise host.Timeout()
-                    data = stream.recv(65536, left)
+                    data = stream.recv(65536, time_left)
                 except host.Timeout:
                     if reader.begun:
                         stream.send(
@@ -70,60 +87,69 @@
                 if not data:
                     return False
                 if not reader.begun:
-                    came = host.now()
-                bad = self.feed(reader, data)
+                    arrived = host.now()
+                bad_request = self.feed(reader, data)
                 self.busy.add(stream)
-                if reader.wants_continue and not bad:
+                if reader.wants_continue and not bad_request:
                     reader.wants_continue = False
-                    stream.send(CONTINUE, WRITE_TIMEOUT)
+                    stream.send(CONTINUE, WRITE_TIMEOUT_MS)
             while reader.ready:
                 request = reader.ready.pop(0)
-                answer, keep, gone, worse = self.answer(stream, reader, request, came)
-                bad = bad or worse
-                if gone:
+                answer, keep, client_gone, later_bad_request = self.answer(stream, reader, request, arrived)
+                bad_request = bad_request or later_bad_request
+                if client_gone:
                     return False
-                stream.send(answer, WRITE_TIMEOUT)
+                stream.send(answer, WRITE_TIMEOUT_MS)
                 if not keep:
                     return True
-            if bad:
-                stream.send(invocation.rejected(bad), WRITE_TIMEOUT)
+            if bad_request:
+                stream.send(invocation.rejected(bad_request), WRITE_TIMEOUT_MS)
                 return True
 
     @staticmethod
     def feed(reader, data):
+        """Returns the BadRequest that the data led to, or None."""
         try:
             reader.feed(data)
-        except http.BadRequest as bad:
-            return bad
+        except http.BadRequest as bad_request:
+            return bad_request
+
+    def answer(self, stream, reader, request, arrived):
+        """Serves one request.
 
-    def answer(self, stream, reader, request, came):
-        """(bytes, keep open, client gone, what was bad in bytes read meanwhile)."""
+        Returns (answer in bytes, whether to keep the connection, whether the client has gone, BadRequest or None from
+        the bytes that were read meanwhile)."""
         method, url, headers, body, keep = request
         if url.startswith(b"/-/"):
-            return (*self.inside(url, keep), False, None)
+            return (*self.internal_page(url, keep), False, None)
         keep = keep and not self.stopping
         try:
-            op, name, key, mark, patience = invocation.asked(method, url, headers, self.operations)
-            verdict, tenant = self.admit(name, op)
+            operation, tenant_name, key, mark, patience = invocation.asked(
+                method, url, headers, self.operations
+            )
+            verdict, tenant = self.admit(tenant_name, operation)
             if verdict == UNKNOWN:
                 raise http.BadRequest(403, "Gannet-Tenant names no tenant here")
-        except http.BadRequest as bad:
-            return invocation.rejected(bad), False, False, None
-        limit, margin = self.margins[op]
-        left = min(patience or limit, limit) - margin - (host.now() - came)
+        except http.BadRequest as bad_request:
+            return invocation.rejected(bad_request), False, False, None
+        limit, margin = self.margins[operation]
+        time_left = min(patience or limit, limit) - margin - (host.now() - arrived)
         if self.stopping:
             return invocation.throttled(0, False, b"throttled: this proxy is stopping\n"), False, False, None
         if verdict == LATER:
-            # Nothing ran, and the directory may know better soon.
+            # Nothing was executed, and the directory may soon give a newer list.
             return (
-                invocation.throttled(LATER_IN, keep, b"throttled: the list of tenants is too old for this\n"),
+                invocation.throttled(
+                    STALE_TENANTS_RETRY_MS, keep, b"throttled: the list of tenants is too old for this\n"
+                ),
                 keep,
                 False,
                 None,
             )
-        # By its mark: a key is shared by all that belongs together, and would make of every caller one that comes again.
+        # Retries are counted by the mark (Idempotency-Key). A Gannet-Key is shared by all invocations that belong
+        # together, so every caller would look like one that retries.
         self.rounds.watch.asked(host.now(), mark)
-        held = self.rounds.take(op, tenant, key, max(0.0, left), url, headers, body)
+        held = self.rounds.take(operation, tenant, key, max(0.0, time_left), url, headers, body)
         if held is None:
             return (
                 invocation.throttled(self.rounds.wait, keep, b"throttled: %s\n" % self.rounds.why),
@@ -132,40 +158,42 @@
                 None,
             )
         held.extra.gone = stream.ended
-        gone, worse = self.wait(stream, reader, held, margin)
-        if gone:
+        client_gone, later_bad_request = self.wait(stream, reader, held, margin)
+        if client_gone:
             return b"", False, True, None
-        kind, *facts = held.answer
+        kind, *details = held.answer
         if kind == SUCCEEDED:
-            return invocation.succeeded(*facts, keep), keep, False, worse
+            return invocation.succeeded(*details, keep), keep, False, later_bad_request
         if kind == "throttled":
-            return invocation.throttled(facts[0], keep), keep, False, worse
-        return invocation.terminated(facts[0], keep), keep, False, worse
+            return invocation.throttled(details[0], keep), keep, False, later_bad_request
+        return invocation.terminated(details[0], keep), keep, False, later_bad_request
 
     def wait(self, stream, reader, held, margin):
-        """Until the answer stands. Reads on meanwhile: an end means that the client has gone."""
-        bad = None
+        """Waits for the final answer; returns (whether the client has gone, BadRequest or None).
+
+        It reads on meanwhile, as the end of the stream means that the client has gone."""
+        bad_request = None
         while True:
-            left = held.deadline + margin / 2 - host.now()
+            time_left = held.deadline + margin / 2 - host.now()
             try:
-                full = bad or len(reader.ready) >= MAX_PIPELINED or reader.ahead
-                if full and len(reader.ahead) >= READ_AHEAD:
-                    held.extra.done.wait(left)
-                    return False, bad
-                data = stream.recv_or(held.extra.done, 65536, left)
+                full = bad_request or len(reader.ready) >= MAX_PIPELINED or reader.ahead
+                if full and len(reader.ahead) >= MAX_READ_AHEAD:
+                    held.extra.done.wait(time_left)
+                    return False, bad_request
+                data = stream.recv_or(held.extra.done, 65536, time_left)
             except host.Timeout:
-                # Nothing decided in time, whatever the reason: the client must hear something while it listens.
+                # There was no decision in time, for whatever reason: the client must be answered while it still waits.
                 self.log.error("answer overdue", inv=held.ident)
                 self.rounds.leave(held, "terminated", True)
-                return False, bad
+                return False, bad_request
             except OSError:
                 data = b""
             if data is None:
-                return False, bad
+                return False, bad_request
             if not data:
                 self.rounds.leave(held)
-                return True, bad
+                return True, bad_request
             if full:
                 reader.ahead += data
             else:
-                bad = self.feed(reader, data)
+                bad_request = self.feed(reader, data)
--- a/gannetfront/proxy/signals.py
+++ b/gannetfront/proxy/signals.py
@@ -1,42 +1,49 @@
-"""Datagrams between proxies, which may be lost. One is heard only from the address of a peer that was named."""
+"""Datagrams between proxies, which may be lost. A datagram is accepted only from the address of a known peer."""
 
 from .. import host
 
-LONGEST = 256  # bytes of a payload
+MAX_PAYLOAD = 256  # bytes
 
 
 class Signals:
-    """Two bytes of the sender's number, then the payload; with `bare` the payload alone, the sender told by its address."""
+    """Sends and receives signals at one port.
 
-    def __init__(self, me, at, tell, bare=False):
-        self.me, self.tell, self.peers, self.names, self.bare = me, tell, {}, {}, bare
-        self.port = host.Datagrams(at)
+    A datagram is two bytes with the sender's number, then the payload. With `bare` it is the payload alone, and the
+    sender is known by its address only."""
+
+    def __init__(self, number, listen_address, tell, bare=False):
+        """`number` is this proxy's; `tell("peer", number, payload)` is called for each signal received."""
+        self.number, self.tell, self.peers, self.numbers, self.bare = number, tell, {}, {}, bare
+        self.port = host.Datagrams(listen_address)
 
     def on_peers(self, message):
-        told = {p.id: p.address for p in message.peers if p.id != str(self.me)}
-        self.know({**self.peers, **told} if message.more else told)
+        """Takes up the controller's list of peers; with `more` it adds to those known, else it replaces them."""
+        listed = {p.id: p.address for p in message.peers if p.id != str(self.number)}
+        self.know({**self.peers, **listed} if message.more else listed)
 
     def know(self, peers):
-        """`peers` maps numbers as text to addresses."""
+        """Sets the peers: `peers` maps their numbers, as text, to addresses."""
         self.peers = peers
-        self.names = {address: int(ident) for ident, address in peers.items() if ident.isdigit()}
+        self.numbers = {address: int(peer_id) for peer_id, address in peers.items() if peer_id.isdigit()}
 
     def send(self, target, payload):
-        head = b"" if self.bare else self.me.to_bytes(2, "big")
-        for ident, address in self.peers.items():
-            if target in ("*", ident):
-                self.port.send(address, head + payload[:LONGEST])
+        """Sends a payload to the peer with the number `target`, or to all for "*". A longer payload is cut."""
+        header = b"" if self.bare else self.number.to_bytes(2, "big")
+        for peer_id, address in self.peers.items():
+            if target in ("*", peer_id):
+                self.port.send(address, header + payload[:MAX_PAYLOAD])
 
     def run(self):
+        """Receives signals until the port is closed."""
         while True:
-            got = self.port.recv(512)
-            if got is None:
+            received = self.port.recv(512)
+            if received is None:
                 return
-            data, sender = got
-            number, head = self.names.get(sender), 0 if self.bare else 2
+            data, sender = received
+            peer_number, header_size = self.numbers.get(sender), 0 if self.bare else 2
             if (
-                number is not None
-                and head < len(data) <= head + LONGEST
-                and (self.bare or number == int.from_bytes(data[:2], "big"))
+                peer_number is not None
+                and header_size < len(data) <= header_size + MAX_PAYLOAD
+                and (self.bare or peer_number == int.from_bytes(data[:2], "big"))
             ):
-                self.tell("peer", number, data[head:])
+                self.tell("peer", peer_number, data[header_size:])
