--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -1,6 +1,7 @@
-"""An invocation is held only while a dispatch is out for it: whatever is given up on ends in that very round.
+"""An invocation is held only while a dispatch is in flight for it: one that is given up ends in the same round.
 
-Drawn days of outcomes, listings and stages, each from its seed; after every round all that the decisions hold is looked at.
+Each seed gives a random sequence of outcomes, list changes and stages. After every round the invocations that the
+balancer holds are compared with those that are owed an answer.
 """
 
 from dataclasses import replace
@@ -10,98 +11,135 @@
 from gannetfront import interface as i
 from helpers import NAMES, OPS, Stage
 
-FAILED = i.ERROR, i.FULL, i.TIMEOUT, i.UNCONNECTED, i.RESET, i.MOOT
+FAILURES = i.ERROR, i.FULL, i.TIMEOUT, i.UNCONNECTED, i.RESET, i.MOOT
 STATES = i.READY, i.READY, i.READY, i.DRAINING, i.GONE
 
 
-class Day:
+class RandomRun:
+    """One balancer under random events. `in_flight` maps (invocation, seq) to (server, time limit's end in ms)."""
+
     def __init__(self, seed, facts):
         self.state, self.stage = seed, Stage(facts)
-        self.out, self.open, self.ended, self.read, self.advice = {}, set(), set(), 0, facts["retry_advice"]
-        self.gave_up = 0
+        self.in_flight, self.open, self.ended, self.decisions_read, self.advice = (
+            {},
+            set(),
+            set(),
+            0,
+            facts["retry_advice"],
+        )
+        self.given_up = 0
 
-    def draw(self, below):
+    def random(self, below):
+        """Returns a random whole number from 0 to below - 1, from a linear congruential generator."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.state >> 33) % below
 
-    def of(self, some):
-        return some[self.draw(len(some))]
+    def choice(self, options):
+        return options[self.random(len(options))]
 
     def step(self):
-        stage, tell = self.stage, self.stage.queue.append
-        stage.now += 5 + self.draw(120)
-        if not self.draw(4):
-            name, build = f"s{self.draw(5)}", 1 + self.draw(3)
-            tell(
+        """Runs one round with random events, then checks the decisions."""
+        stage, queue_event = self.stage, self.stage.queue.append
+        stage.now += 5 + self.random(120)
+        if not self.random(4):
+            name, build = f"s{self.random(5)}", 1 + self.random(3)
+            queue_event(
                 (
                     "listed",
                     "changes",
-                    ((name, self.draw(2), build, 0, 0, self.of(STATES), 1.0, stage.now * self.draw(2)),),
+                    (
+                        (
+                            name,
+                            self.random(2),
+                            build,
+                            0,
+                            0,
+                            self.choice(STATES),
+                            1.0,
+                            stage.now * self.random(2),
+                        ),
+                    ),
                 )
             )
-        if not self.draw(40):
-            tell(("listed", "whole", (("s0", 0, 1, 0, 0, i.READY, 1.0, 0.0),)))
-        if not self.draw(20):
-            tell(
+        if not self.random(40):
+            queue_event(("listed", "whole", (("s0", 0, 1, 0, 0, i.READY, 1.0, 0.0),)))
+        if not self.random(20):
+            queue_event(
                 (
                     "stage_told",
                     False,
-                    self.draw(2),
+                    self.random(2),
                     0.0,
-                    self.of((0.0, 0.1, 1.0)),
+                    self.choice((0.0, 0.1, 1.0)),
                     i.SUCCEEDED,
-                    1 + self.draw(3),
-                    self.draw(4),
+                    1 + self.random(3),
+                    self.random(4),
+                )
+            )
+        for invocation in sorted(self.open):
+            if not self.random(60):
+                self.open.discard(invocation)
+                self.ended.add(invocation)
+                stage.queue.insert(0, ("client_gone", invocation))  # before an outcome of the same round
+        for (invocation, seq), (server, limit_at) in list(self.in_flight.items()):
+            timed_out = stage.now >= limit_at
+            if timed_out or not self.random(6):
+                status = i.TIMEOUT if timed_out else i.SUCCEEDED if self.random(3) else self.choice(FAILURES)
+                self.end_dispatch(invocation, seq, status)
+        for _ in range(self.random(4)):
+            queue_event(
+                (
+                    "invocation",
+                    stage.next_inv,
+                    None,
+                    self.random(len(NAMES)),
+                    0,
+                    20.0 + self.random(3000),
                 )
             )
-        for inv in sorted(self.open):
-            if not self.draw(60):
-                self.open.discard(inv)
-                self.ended.add(inv)
-                stage.queue.insert(0, ("client_gone", inv))  # before an outcome that came as it left
-        for (inv, seq), (addr, ends) in list(self.out.items()):
-            late = stage.now >= ends
-            if late or not self.draw(6):
-                status = i.TIMEOUT if late else i.SUCCEEDED if self.draw(3) else self.of(FAILED)
-                self.landed(inv, seq, status)
-        for _ in range(self.draw(4)):
-            tell(("invocation", stage.next_inv, None, self.draw(len(NAMES)), 0, 20.0 + self.draw(3000)))
             self.open.add(stage.next_inv)
             stage.next_inv += 1
         stage.flush()
-        self.look()
+        self.check()
 
-    def landed(self, inv, seq, status):
-        addr, _ = self.out.pop((inv, seq))
-        if status == i.SUCCEEDED and inv in self.open:
-            self.open.discard(inv)
-            self.ended.add(inv)
-        self.stage.queue.append(("outcome", inv, seq, addr, status, 50.0, inv in self.ended, {}))
+    def end_dispatch(self, invocation, seq, status):
+        server, _ = self.in_flight.pop((invocation, seq))
+        if status == i.SUCCEEDED and invocation in self.open:
+            self.open.discard(invocation)
+            self.ended.add(invocation)
+        self.stage.queue.append(
+            ("outcome", invocation, seq, server, status, 50.0, invocation in self.ended, {})
+        )
 
-    def look(self):
-        acts, called_off = self.stage.out.acts, []
-        for act, *p in acts[self.read :]:
-            if act == "dispatch":
-                seq = sum(1 for a in acts[: self.read] if a[0] == "dispatch" and a[1] == p[0])
-                self.out[p[0], seq] = p[1], self.stage.now + p[2]
-                assert p[0] in self.open, f"{p[0]} sent after its end"
-            elif act == "cancel":
-                called_off.append((p[0], p[1]))
-            elif act in ("throttle", "terminate"):
-                assert p[0] in self.open, f"{p[0]} ended twice"
-                self.open.discard(p[0])
-                self.ended.add(p[0])
-                self.gave_up += 1
-                if act == "throttle":
-                    assert (0 < p[1] <= self.advice) if self.advice else p[1] == 0
-            self.read += 1
-        with_one_out = {inv for inv, _ in self.out}
+    def check(self):
+        """Applies the decisions of the last round and compares what is held with what is owed an answer."""
+        decisions, cancelled = self.stage.out.acts, []
+        for kind, *fields in decisions[self.decisions_read :]:
+            if kind == "dispatch":
+                seq = sum(
+                    1
+                    for earlier in decisions[: self.decisions_read]
+                    if earlier[0] == "dispatch" and earlier[1] == fields[0]
+                )
+                self.in_flight[fields[0], seq] = fields[1], self.stage.now + fields[2]
+                assert fields[0] in self.open, f"{fields[0]} sent after its end"
+            elif kind == "cancel":
+                cancelled.append((fields[0], fields[1]))
+            elif kind in ("throttle", "terminate"):
+                assert fields[0] in self.open, f"{fields[0]} ended twice"
+                self.open.discard(fields[0])
+                self.ended.add(fields[0])
+                self.given_up += 1
+                if kind == "throttle":
+                    assert (0 < fields[1] <= self.advice) if self.advice else fields[1] == 0
+            self.decisions_read += 1
+        with_dispatch = {invocation for invocation, _ in self.in_flight}
         held = set(self.stage.balancer.invs)
         assert held == self.open, "what is owed an answer and what is held differ"
-        assert held <= with_one_out, f"held with no dispatch out: {sorted(held - with_one_out)}"
-        for one in called_off:  # the carrier tells of its end in the next round
-            if one in self.out:
-                self.landed(*one, i.CANCELLED)
+        assert held <= with_dispatch, f"held with no dispatch in flight: {sorted(held - with_dispatch)}"
+        for key in cancelled:  # the carrier reports the end of a cancelled dispatch in the next round
+            if key in self.in_flight:
+                self.end_dispatch(*key, i.CANCELLED)
 
 
 @pytest.mark.parametrize(
@@ -111,9 +149,9 @@
 def test_held_only_while_a_dispatch_is_out(duplicate, cancel, advice, late):
     given_up = 0
     for seed in range(12):
-        day = Day(seed, dict(may_duplicate=duplicate, may_cancel=cancel, retry_advice=advice))
-        day.stage.balancer.ops = [replace(op, late_value=late) for op in OPS.values()]
+        run = RandomRun(seed, dict(may_duplicate=duplicate, may_cancel=cancel, retry_advice=advice))
+        run.stage.balancer.ops = [replace(op, late_value=late) for op in OPS.values()]
         for _ in range(150):
-            day.step()
-        given_up += day.gave_up
-    assert given_up > 500  # the days must give reason to give up
+            run.step()
+        given_up += run.given_up
+    assert given_up > 500  # else the runs rarely gave a reason to give up, and the check above proves little
