--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,21 +17,24 @@
 
 
 class Log:
-    """Keeps what was logged, as (event, facts)."""
+    """Records what is logged, as (event, fields), whatever the level."""
 
     def __init__(self):
         self.lines = []
 
     def __getattr__(self, level):
-        return lambda event, **facts: self.lines.append((event, facts))
+        return lambda event, **fields: self.lines.append((event, fields))
 
     def said(self, event):
-        return [facts for name, facts in self.lines if name == event]
+        """Returns the fields of each record of an event."""
+        return [fields for name, fields in self.lines if name == event]
 
 
 class Node:
-    """Answers each whole request with the next of `acts`, the last for ever: bytes to send, a number of ms to wait
-    first, 'reset', 'close' or 'silent'. `seen` holds the requests."""
+    """Answers each whole request with the next of `acts`, and repeats the last one.
+
+    An act is the bytes to send, a function of the request that returns them, a number of ms to wait, "reset",
+    "close", "silent" (no answer), or a list of these. `seen` holds the requests received."""
 
     def __init__(self, *acts, at="127.0.0.1:0"):
         self.acts, self.seen, self.streams, self.ended = list(acts or [ok()]), [], [], 0
@@ -40,6 +43,7 @@
         host.spawn(host.serve, self.listener, self.handle, Log())
 
     def requests(self, stream):
+        """Yields the requests of a connection until its end."""
         reader = http.RequestReader(65536, 1 << 24)
         while True:
             while not reader.ready:
@@ -50,6 +54,7 @@
             yield reader.ready.pop(0)
 
     def handle(self, stream):
+        """Serves one connection."""
         self.streams.append(stream)
         try:
             for request in self.requests(stream):
@@ -73,21 +78,31 @@
             self.ended += 1
 
     def close(self):
+        """Closes the listener and all connections."""
         self.listener.close()
         for stream in self.streams:
             stream.close()
 
 
 def ok(body=b"done", **headers):
+    """Returns the bytes of a successful answer."""
     return http.answer(200, [(k.encode(), v.encode()) for k, v in headers.items()], body)
 
 
-FULL = http.answer(503, [(b"gannet-unseen", b"1")], b"")
+FULL = http.answer(503, [(b"gannet-unseen", b"1")], b"")  # the node has not begun the invocation
 
 
 class Rig:
-    def __init__(self, tmp_path, *nodes, fleet=FLEET, listed=True, **mine):
-        self.log, self.nodes, self.path, self.fleet, self.mine = Log(), list(nodes), tmp_path, fleet, mine
+    """A proxy and its controller. The nodes are listed if `listed`; `settings` are the proxy's."""
+
+    def __init__(self, tmp_path, *nodes, fleet=FLEET, listed=True, **settings):
+        self.log, self.nodes, self.path, self.fleet, self.settings = (
+            Log(),
+            list(nodes),
+            tmp_path,
+            fleet,
+            settings,
+        )
         self.facts = load.parse(schema.Fleet, fleet, "fleet")
         self.controller = Controller(
             self.facts, schema.Controller(), load.deployment(self.facts, 0, "", 1.0).rollout, 0, self.log
@@ -99,9 +114,12 @@
         self.start()
 
     def start(self):
+        """Starts the proxy and waits until it has the controller's list and stage."""
         text = "\n".join(
             f"{k}: {v if not isinstance(v, str) else chr(34) + v + chr(34)}"
-            for k, v in (dict(control=self.control, state_file=str(self.path / "kept")) | self.mine).items()
+            for k, v in (
+                dict(control=self.control, state_file=str(self.path / "kept")) | self.settings
+            ).items()
         )
         self.proxy = Proxy(self.facts, load.parse(schema.Proxy, text, "proxy"), self.log)
         self.proxy.start()
@@ -110,6 +128,7 @@
         host.sleep(20)
 
     def list(self, node, state=c.READY, slot=None, build=1, incarnation=1, age=-1.0):
+        """Reports a node to the controller, as the machine of its slot does."""
         slot = self.nodes.index(node) if slot is None else slot
         self.controller.on_report(
             c.Report(
@@ -127,27 +146,30 @@
             )
         )
 
-    def until(self, true, limit=3000):
+    def until(self, condition, limit=3000):
+        """Waits until `condition()` holds, for at most `limit` ms."""
         end = host.now() + limit
-        while not true():
-            assert host.now() < end, "never came about"
+        while not condition():
+            assert host.now() < end, "the condition did not hold in time"
             host.sleep(5)
 
     def ask(self, op="read", body=b"", patience=None, stream=None, **headers):
-        """(status, answer kind, reader) of one invocation."""
+        """Sends one invocation; returns (status, answer kind, reader)."""
         stream = stream or host.connect(self.at, 1000)
-        told = [(k.replace("_", "-").encode(), str(v).encode()) for k, v in headers.items()]
+        request_headers = [(k.replace("_", "-").encode(), str(v).encode()) for k, v in headers.items()]
         if patience is not None:
-            told.append((b"gannet-patience-ms", str(patience).encode()))
-        stream.send(http.request(b"/" + op.encode(), b"x", told, body), 1000)
+            request_headers.append((b"gannet-patience-ms", str(patience).encode()))
+        stream.send(http.request(b"/" + op.encode(), b"x", request_headers, body), 1000)
         return self.read(stream)
 
     def raw(self, data):
+        """Sends bytes on a new connection; returns as `ask`."""
         stream = host.connect(self.at, 1000)
         stream.send(data, 1000)
         return self.read(stream)
 
     def read(self, stream):
+        """Reads one answer; returns as `ask`."""
         reader = http.AnswerReader(1 << 24)
         while not reader.whole:
             data = stream.recv(65536, 3000)
@@ -157,6 +179,7 @@
         return reader.status, kind and kind.decode(), reader
 
     def close(self):
+        """Stops the proxy's greenlets and closes all listeners."""
         for greenlet in self.proxy.greenlets:
             host.stop(greenlet)
         self.proxy.listener.close()
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -1,7 +1,7 @@
-"""An invocation is held only while a dispatch is in flight for it: one that is given up ends in the same round.
+"""An invocation is held only while a dispatch is in flight for it: one given up ends in the same round.
 
-Each seed gives a random sequence of outcomes, list changes and stages. After every round the invocations that the
-balancer holds are compared with those that are owed an answer.
+Each seed gives a random sequence of outcomes, list changes and stages. After every round the invocations that
+the balancer holds are compared with those that are owed an answer.
 """
 
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 class RandomRun:
-    """One balancer under random events. `in_flight` maps (invocation, seq) to (server, time limit's end in ms)."""
+    """One balancer under random events. `in_flight` maps (invocation, seq) to (server, end of its limit)."""
 
     def __init__(self, seed, facts):
         self.state, self.stage = seed, Stage(facts)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""Hundreds of balancers that share no state: each sends few dispatches, and a server receives the sum of them."""
+"""Hundreds of balancers that share no state: each sends little, and a server receives the sum."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 
 
 def send_all(stages, invocations):
-    """Gives each balancer that many invocations at once; returns (dispatches by server, invocations throttled)."""
+    """Gives each balancer that many invocations at once; returns (dispatches by server, number throttled)."""
     by_server, throttled = Counter(), 0
     for number, stage in enumerate(stages):
         stage.balancer.chance_state = 1000003 * (number + 1)
@@ -38,12 +38,12 @@
 
 
 def test_cold_servers_are_not_overloaded_by_all_balancers_together():
-    """A released build is rolled back: its 20 servers may get nothing, the 10 of the earlier build have just started."""
+    """A build is rolled back: its 20 servers may get nothing, the 10 of the earlier one have just started."""
     by_server, throttled = send_all(
         balancers_with(*ready_servers(10, 500), *ready_servers(20, 90000, build=2, first=10)), 5
     )
     assert not {f"s{n}" for n in range(10, 30)} & by_server.keys()
-    # The fair part of a warm server would be 33 of 1,000; a cold one survives three times 0.39 of its capacity.
+    # The fair part of a warm server would be 33 of 1,000; a cold one bears three times 0.39 of its capacity.
     assert 0 < max(by_server.values()) <= 33 and throttled > 500
     # With only warm servers nothing is throttled.
     assert send_all(balancers_with(*ready_servers(30, 90000)), 5)[1] == 0
@@ -75,12 +75,12 @@
 def test_first_servers_of_a_returning_zone_are_not_overloaded():
     """Three of twelve servers of the home zone are back, 0.5 s after their start.
 
-    There are 24 warm servers elsewhere, and crossing zones has a price: the three must not get all requests."""
+    There are 24 warm servers elsewhere, and crossing zones has a price: the three must not get all."""
     by_server, throttled = send_all(
         balancers_with(
             *ready_servers(3, 500), *ready_servers(24, 90000, first=3, zone=1), zones=2, cross_zone_price=0.1
         ),
         5,
     )
-    # The fair part of a warm server would be 37 of 1,000; a cold one survives three times 0.39 of its capacity.
+    # The fair part of a warm server would be 37 of 1,000; a cold one bears three times 0.39 of its capacity.
     assert throttled == 0 and max(by_server[f"s{n}"] for n in range(3)) <= 37
