--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -1,8 +1,8 @@
 """Connects a Balancer to the code that carries out its decisions, without I/O.
 
-The Carrier keeps the invocations that are owed an answer, numbers the dispatches of each and holds the balancer's
-timers. Its runner (proxy/rounds.py on sockets, lab/world.py in virtual time) appends to `events`, calls `step`, and
-provides the functions that carry out decisions:
+The Carrier keeps the invocations that are owed an answer, numbers the dispatches of each and holds the
+balancer's timers. Its runner (proxy/rounds.py on sockets, lab/world.py in virtual time) appends to `events`,
+calls `step`, and provides the functions that carry out decisions:
   launch(held, seq, address, limit)   sends a dispatch; its outcome is reported to `landed`
   call_off(invocation_id, seq)        stops waiting for a dispatch
   ended(held, kind, details)          is called once with the final answer of an invocation
@@ -18,8 +18,8 @@
 class Held:
     """An invocation that is owed its answer.
 
-    `deadline` is the time in ms by which it must be answered, `next_seq` the number of its next dispatch, `answer` the
-    final answer as (kind, *details) or None, and `extra` belongs to the runner."""
+    `deadline` is the time in ms by which it must be answered, `next_seq` the number of its next dispatch,
+    `answer` the final answer as (kind, *details) or None, and `extra` belongs to the runner."""
 
     __slots__ = "ident", "operation", "deadline", "next_seq", "answer", "extra"
 
@@ -69,7 +69,7 @@
             )
 
     def stands(self, held, seq, life, now):
-        """Tells whether a dispatch that had to wait is still to be sent. Asked right before its first byte is sent."""
+        """Tells, right before the first byte, whether a dispatch that had to wait is still to be sent."""
         return life == self.life and held.answer is None and self.balancer.stands(now, held.ident, seq)
 
     def due(self):
@@ -96,8 +96,8 @@
     def restart(self):
         """Starts over with a fresh balancer, and ends every held invocation as terminated.
 
-        Dispatches in flight are ignored from now on, as the fresh balancer knows neither them nor, possibly, their
-        nodes. Nothing is sent again, as it is no longer known what was executed."""
+        Dispatches in flight are ignored from now on, as the fresh balancer knows neither them nor, possibly,
+        their nodes. Nothing is sent again, as it is no longer known what was executed."""
         held, self.held, self.life = self.held, {}, self.life + 1
         for one in held.values():
             self.end(one, "terminated", False)
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -25,10 +25,10 @@
     def __init__(
         self, rounds, operations, admit, limits, margins, read_limit, idle_limit, internal_page, log
     ):
-        """`operations` maps names in bytes to an index. `admit(tenant, operation)` returns (verdict, number) as in
-        tenancy.py. `limits` are the bytes of headers and body. `margins[operation]` is (time limit, margin) in ms.
-        `read_limit` is the time for one request and `idle_limit` the time between requests, in ms.
-        `internal_page(path, keep)` answers requests to the proxy itself."""
+        """`operations` maps names in bytes to an index. `admit(tenant, operation)` returns (verdict, number)
+        as in tenancy.py. `limits` are the bytes of headers and body. `margins[operation]` is (time limit,
+        margin) in ms. `read_limit` is the time for one request and `idle_limit` the time between requests, in
+        ms. `internal_page(path, keep)` answers requests to the proxy itself."""
         self.rounds, self.operations, self.admit, self.limits = rounds, operations, admit, limits
         self.margins, self.read_limit, self.idle_limit, self.internal_page = (
             margins,
@@ -59,7 +59,7 @@
     def serve(self, stream):
         """Serves the requests of a connection.
 
-        Returns True if the proxy ended it: the client may still be writing and not have read its last answer."""
+        Returns True if the proxy ended it: the client may be writing and not have read its answer yet."""
         reader, bad_request = http.RequestReader(*self.limits), None
         arrived = host.now()
         while True:
@@ -71,8 +71,8 @@
                 if not reader.begun:
                     self.busy.discard(stream)
                 try:
-                    # The time limit is for the whole request, from its first byte on: a client that sends a byte a
-                    # second must not keep its connection open for ever.
+                    # The time limit is for the whole request, from its first byte on: a client that sends a
+                    # byte a second must not keep its connection open for ever.
                     time_left = arrived + self.read_limit - host.now() if reader.begun else self.idle_limit
                     if time_left <= 0:
                         raise host.Timeout()
@@ -117,8 +117,8 @@
     def answer(self, stream, reader, request, arrived):
         """Serves one request.
 
-        Returns (answer in bytes, whether to keep the connection, whether the client has gone, BadRequest or None from
-        the bytes that were read meanwhile)."""
+        Returns (answer in bytes, whether to keep the connection, whether the client has gone, BadRequest or
+        None from the bytes that were read meanwhile)."""
         method, url, headers, body, keep = request
         if url.startswith(b"/-/"):
             return (*self.internal_page(url, keep), False, None)
@@ -146,8 +146,8 @@
                 False,
                 None,
             )
-        # Retries are counted by the mark (Idempotency-Key). A Gannet-Key is shared by all invocations that belong
-        # together, so every caller would look like one that retries.
+        # Retries are counted by the mark (Idempotency-Key). A Gannet-Key is shared by all invocations that
+        # belong together, so every caller would look like one that retries.
         self.rounds.watch.asked(host.now(), mark)
         held = self.rounds.take(operation, tenant, key, max(0.0, time_left), url, headers, body)
         if held is None:
@@ -182,7 +182,7 @@
                     return False, bad_request
                 data = stream.recv_or(held.extra.done, 65536, time_left)
             except host.Timeout:
-                # There was no decision in time, for whatever reason: the client must be answered while it still waits.
+                # No decision came in time, for whatever reason: the client is answered while it still waits.
                 self.log.error("answer overdue", inv=held.ident)
                 self.rounds.leave(held, "terminated", True)
                 return False, bad_request
--- a/gannetfront/proxy/flights.py
+++ b/gannetfront/proxy/flights.py
@@ -1,17 +1,18 @@
 """One dispatch on a socket, and the status that each way of ending proves. The table is in docs/proxy.md.
 
-A dispatch was certainly not executed if there was no connection, if no byte was written, or if the node itself says
-that it has not begun. Once a byte was written, anything but a complete answer means that it may have been executed.
-Under a protocol whose nodes begin only at the last byte (`begins_whole` of the reader), that byte counts instead.
-The protocol itself is the reader's.
+A dispatch was certainly not executed if there was no connection, if no byte was written, or if the node
+itself says that it has not begun. Once a byte was written, anything but a complete answer means that it may
+have been executed. Under a protocol whose nodes begin only at the last byte (`begins_whole` of the reader),
+that byte counts instead. The protocol itself is the reader's.
 """
 
 from .. import host
 from ..interface import CANCELLED, FULL, MOOT, RESET, TIMEOUT, UNCONNECTED
 from ..wire import BadAnswer
 
-# Reasons for a missing connection that do not tell whether the node is there: it takes no more connections, this proxy
-# has none to spare, or the node list has just dropped it. The dispatch was not executed in any of these cases.
+# Reasons for a missing connection that do not tell whether the node is there: it takes no more connections,
+# this proxy has none to spare, or the node list has just dropped it. The dispatch was not executed in any of
+# these cases.
 STATUS_BY_REFUSAL = {
     "turned away": FULL,
     "pool full": MOOT,
@@ -25,9 +26,9 @@
     """A dispatch in flight to the node at `addr`. Setting `stop` calls it off; `begun` is its start in ms."""
 
     def __init__(self, addr, encode, limit, reader, still_wanted=lambda waited: True):
-        """`encode(time_left)` returns the request's bytes, with the ms that the node has left. `limit` is the time
-        limit in ms and `reader` reads the answer. `still_wanted(waited)` tells whether the dispatch is still to be
-        sent, where `waited` tells whether it had to wait for a disk or a connection."""
+        """`encode(time_left)` returns the request's bytes, with the ms that the node has left. `limit` is the
+        time limit in ms and `reader` reads the answer. `still_wanted(waited)` tells whether the dispatch is
+        still to be sent, where `waited` tells whether it had to wait for a disk or a connection."""
         self.addr, self.encode, self.limit, self.reader, self.still_wanted = (
             addr,
             encode,
@@ -46,7 +47,7 @@
         return self.begun + self.limit - host.now()
 
     def fly(self, pool):
-        """Sends the dispatch and returns (status, complete answer or None). Blocks at most for the time limit."""
+        """Sends the dispatch; returns (status, complete answer or None) within the time limit."""
         while True:
             if self.stop.ready() or pool.retired:
                 return MOOT, None
@@ -58,9 +59,10 @@
                 return STATUS_BY_REFUSAL.get(refusal.kind, UNCONNECTED), None
             status, answer, broke, unused = UNCONNECTED, None, None, False
             try:
-                # The only check right before the first byte. While the dispatch waited for a disk or a connection, the
-                # client may have left, the node been told to end, its address been taken by another process, the build
-                # been rolled back or its share of the traffic been used up. The node gets the time left as of now.
+                # The only check right before the first byte. While the dispatch waited for a disk or a
+                # connection, the client may have left, the node been told to end, its address been taken by
+                # another process, the build been rolled back or its share of the traffic been used up. The
+                # node gets the time left as of now.
                 if (
                     self.stop.ready()
                     or pool.retired
@@ -73,7 +75,7 @@
                 broke = True if status == RESET and not self.received_any else False if answer else None
             finally:
                 pool.give(stream, unused or answer is not None and answer.reusable, broke)
-            # A reused connection that breaks before the first byte has carried nothing: another one may be tried.
+            # A reused connection that breaks before the first byte has carried nothing: another may be tried.
             if status != UNCONNECTED or fresh:
                 return status, answer
 
--- a/gannetfront/proxy/keeping.py
+++ b/gannetfront/proxy/keeping.py
@@ -1,11 +1,11 @@
 """How long a connection to a node may stay idle and still be trusted with a request. Does no I/O.
 
-Some nodes and middleboxes drop idle connections silently, and sooner than announced. A request written to such a
-connection ends in a reset, which doesn't prove that the request was not executed; a side-effecting invocation is then
-lost, as it may not be retried. The symptom is that connections with a given idle time break on their next request
-more often than new ones do. Where new connections break as well, for a reason of their own, the rule may discard more
-connections than needed, which costs handshakes. Samples are the most recent few of each idle time and expire, so that
-longer idle times are tried again.
+Some nodes and middleboxes drop idle connections silently, and sooner than announced. A request written to
+such a connection ends in a reset, which doesn't prove that the request was not executed; a side-effecting
+invocation is then lost, as it may not be retried. The symptom is that connections with a given idle time
+break on their next request more often than new ones do. Where new connections break as well, for a reason of
+their own, the rule may discard more connections than needed, which costs handshakes. Samples are the most
+recent few of each idle time and expire, so that longer idle times are tried again.
 """
 
 from collections import deque
@@ -24,8 +24,8 @@
     10240.0,
 )
 SAMPLES_PER_CLASS, SAMPLE_TTL_MS = 24, 10000.0
-# A class is distrusted when its share of breaks exceeds that of new connections by the margin, and its number of
-# breaks reaches the minimum.
+# A class is distrusted when its share of breaks exceeds that of new connections by the margin, and its number
+# of breaks reaches the minimum.
 BREAK_SHARE_MARGIN, MIN_BREAKS = (
     0.1,
     2,
@@ -44,7 +44,7 @@
         )
 
     def saw(self, now, idle_time, broke):
-        """Records the end of a request on a connection that had been idle for `idle_time` ms, or was new (None).
+        """Records how a request ended on a connection that was idle for `idle_time` ms, or new (None).
 
         `broke` tells whether the connection broke before any byte of an answer."""
         if idle_time is None or idle_time < IDLE_BOUNDS_MS[0]:
--- a/gannetfront/proxy/kept.py
+++ b/gannetfront/proxy/kept.py
@@ -1,4 +1,5 @@
-"""The node list as this proxy has it: list messages in, entries for the balancer out, and the copy on disk. No I/O.
+"""The node list as this proxy has it: list messages in, entries for the balancer out, and the copy on disk.
+No I/O.
 
 Messages carry a node's age, while the balancer needs its start time. The start time is computed once for each
 incarnation, so that a process keeps the same start time in all lists.
@@ -17,8 +18,8 @@
 class KeptList:
     """The node list of the newest message, by revision and epoch.
 
-    `nodes` maps a node's address to (entry, incarnation). An entry is the tuple that the balancer gets: (address,
-    zone, build, kind, cell, state, weight, start time in ms or 0.0 where it is unknown)."""
+    `nodes` maps a node's address to (entry, incarnation). An entry is the tuple that the balancer gets:
+    (address, zone, build, kind, cell, state, weight, start time in ms or 0.0 where it is unknown)."""
 
     def __init__(self):
         self.revision, self.epoch, self.nodes, self.started = 0, 0, {}, {}
--- a/gannetfront/proxy/pools.py
+++ b/gannetfront/proxy/pools.py
@@ -1,7 +1,7 @@
 """Connections to nodes: one bounded pool for each node, with a limit on idle time.
 
-Every code path returns or closes its connection. A connection is reused only while nothing waits to be read on it: if
-the node has closed it meanwhile, a byte or an end of stream waits there.
+Every code path returns or closes its connection. A connection is reused only while nothing waits to be read
+on it: if the node has closed it meanwhile, a byte or an end of stream waits there.
 """
 
 from .. import host
@@ -21,8 +21,9 @@
         room=lambda: True,
         keeping=None,
     ):
-        """`connect(address, limit)` returns a stream that can carry a request, or raises host.Refused. `room()` tells
-        whether one more descriptor may be opened. `keeping` estimates the safe idle time and is shared by all pools."""
+        """`connect(address, limit)` returns a stream that can carry a request, or raises host.Refused.
+        `room()` tells whether one more descriptor may be opened. `keeping` estimates the safe idle time and
+        is shared by all pools."""
         self.address, self.capacity, self.idle_limit, self.connect_limit = (
             address,
             capacity,
@@ -33,13 +34,14 @@
         self.out, self.idle = 0, []  # idle: (since, stream), oldest first
 
     def take(self, limit):
-        """Returns (stream, whether it is new). Raises host.Refused: nothing was sent then, whatever the reason."""
+        """Returns (stream, whether it is new). Raises host.Refused, which means that nothing was sent."""
         now = host.now()
         self.close_idle(min(self.idle_limit, self.keeping.trusted(now)))
         while self.idle:
             since, stream = self.idle.pop()
-            # A request written to a connection that the node has closed may or may not have been executed, and a
-            # retry could execute it twice. A connection whose end is visible before the first byte isn't used.
+            # A request written to a connection that the node has closed may or may not have been executed,
+            # and a retry could execute it twice. A connection whose end is visible before the first byte
+            # isn't used.
             if not stream.waiting():
                 self.out += 1
                 stream.idled = now - since
@@ -99,14 +101,14 @@
             self.by_addr[address].close_idle()
 
     def retire(self, address):
-        """Drops a node's pool, as another process answers at its address from now on: no open connection is reused."""
+        """Drops the pool of an address that another process has taken: no open connection is reused."""
         pool = self.by_addr.pop(address, None)
         if pool:
             pool.retired = True
             pool.close_idle()
 
     def oldest_idle(self):
-        """Closes the connection that has been idle for the longest time. Returns False if no connection is idle."""
+        """Closes the connection that has been idle the longest. Returns False if none is idle."""
         candidates = [pool for pool in self.by_addr.values() if pool.idle]
         if candidates:
             pool = min(candidates, key=lambda pool: pool.idle[0][0])
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -1,8 +1,8 @@
 """The round loop on sockets: one greenlet steps the Carrier, and each dispatch runs in a greenlet of its own.
 
-Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is refused, which is
-throttled before anything was executed; other events wait for room, as they must not be lost. The first success is
-handed to its client at once, without waiting for a round.
+Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is refused, which
+is throttled before anything was executed; other events wait for room, as they must not be lost. The first
+success is handed to its client at once, without waiting for a round.
 """
 
 from .. import host
@@ -16,8 +16,8 @@
 class Request:
     """What the dispatches of an invocation need of its client's request. Only the codec reads `content`.
 
-    `done` is set with the final answer, `begun` is the time of arrival in ms and `gone()` tells whether the client has
-    closed its connection."""
+    `done` is set with the final answer, `begun` is the time of arrival in ms and `gone()` tells whether the
+    client has closed its connection."""
 
     __slots__ = "content", "name", "done", "begun", "tenant", "gone"
 
@@ -36,10 +36,10 @@
     """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets."""
 
     def __init__(self, make_balancer, tick, max_held, answer_limit, pools, log, number, codec):
-        """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is the least
-        time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this proxy's. `codec` is the
-        protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit) and Reply(limit), a reader of
-        answers."""
+        """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is
+        the least time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
+        proxy's. `codec` is the protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit)
+        and Reply(limit), a reader of answers."""
         self.tick, self.max_held, self.answer_limit, self.codec = tick, max_held, answer_limit, codec
         self.pools, self.logger, self.name = pools, log, b"proxy/%d" % number
         self.mailbox, self.flights, self.last_round = host.Mailbox(4 * max_held + 4096), {}, -1e9
@@ -120,7 +120,7 @@
             self.carrier.events += [e for e in ([first] if first else []) + self.mailbox.drain() if e]
             try:
                 self.carrier.step(now)
-            except Exception as error:  # noqa: BLE001 - an error in the balancer must not lose the held invocations
+            except Exception as error:  # noqa: BLE001 - held invocations must not be lost
                 self.logger.error(
                     "decisions failed", why=f"{type(error).__name__}: {error}", held=len(self.held)
                 )
@@ -169,14 +169,14 @@
             self.codec.Reply(self.answer_limit),
             still_wanted,
         )
-        # The pool as of now: a later list may give the address to another process than the one that was chosen.
+        # The pool as of now: a later list may give the address to another process than the chosen one.
         host.spawn(self.fly, held, seq, flight, life, self.pools.of(address))
 
     def fly(self, held, seq, flight, life, pool):
         try:
             status, answer = self.recorded(held, seq, flight, pool)
-        except Exception as error:  # noqa: BLE001 - whatever a node's bytes caused, its dispatch must have an outcome
-            # Without one the balancer takes it to be in flight for ever: its client waits, its node looks loaded.
+        except Exception as error:  # noqa: BLE001 - every dispatch must have an outcome
+            # Else the balancer counts it as in flight for ever: the client waits, the node looks loaded.
             self.logger.error("dispatch failed", why=f"{type(error).__name__}: {error}", node=flight.addr)
             status, answer = RESET, None
         if status == SUCCEEDED:
@@ -200,8 +200,9 @@
     def recorded(self, held, seq, flight, pool):
         """Runs a dispatch; returns (status, complete answer or None).
 
-        A dispatch that must not be executed twice is sent only once its intent is on disk. If the intent can't be
-        written the dispatch is not sent: nothing was executed, so the client may be told that a retry is harmless."""
+        A dispatch that must not be executed twice is sent only once its intent is on disk. If the intent
+        can't be written the dispatch is not sent: nothing was executed, so the client may be told that a
+        retry is harmless."""
         if not self.trail or not self.must[held.operation]:
             return flight.fly(pool)
         record = dict(request=held.extra.name, op=held.operation, seq=seq, node=flight.addr)
@@ -219,8 +220,8 @@
     def vote(self, stage, ver, verdict):
         """Casts a vote, unless it is withheld."""
         if self.holds(verdict, ver):
-            # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait for ever
-            # here, as this greenlet is the one that empties the mailbox.
+            # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait
+            # for ever here, as this greenlet is the one that empties the mailbox.
             self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
             self.wake()
             return
--- a/gannetfront/proxy/signals.py
+++ b/gannetfront/proxy/signals.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies, which may be lost. A datagram is accepted only from the address of a known peer."""
+"""Datagrams between proxies, which may be lost. They are accepted only from addresses of known peers."""
 
 from .. import host
 
@@ -8,8 +8,8 @@
 class Signals:
     """Sends and receives signals at one port.
 
-    A datagram is two bytes with the sender's number, then the payload. With `bare` it is the payload alone, and the
-    sender is known by its address only."""
+    A datagram is two bytes with the sender's number, then the payload. With `bare` it is the payload alone,
+    and the sender is known by its address only."""
 
     def __init__(self, number, listen_address, tell, bare=False):
         """`number` is this proxy's; `tell("peer", number, payload)` is called for each signal received."""
@@ -17,7 +17,7 @@
         self.port = host.Datagrams(listen_address)
 
     def on_peers(self, message):
-        """Takes up the controller's list of peers; with `more` it adds to those known, else it replaces them."""
+        """Applies a list of peers from the controller; with `more` it adds to the known ones."""
         listed = {p.id: p.address for p in message.peers if p.id != str(self.number)}
         self.know({**self.peers, **listed} if message.more else listed)
 
@@ -27,7 +27,7 @@
         self.numbers = {address: int(peer_id) for peer_id, address in peers.items() if peer_id.isdigit()}
 
     def send(self, target, payload):
-        """Sends a payload to the peer with the number `target`, or to all for "*". A longer payload is cut."""
+        """Sends at most MAX_PAYLOAD bytes to the peer with the number `target`, or to all for "*"."""
         header = b"" if self.bare else self.number.to_bytes(2, "big")
         for peer_id, address in self.peers.items():
             if target in ("*", peer_id):
