--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -118,17 +118,17 @@
                     left = held.deadline + OVERDUE - host.now()
                     if left <= 0:
                         # Nothing decided in time, whatever the reason: the client must hear something while it listens.
-                        self.all.log.error("answer overdue", inv=held.ident)
+                        self.all.log.error("answer overdue", inv=held.invocation_id)
                         self.all.rounds.leave(held, "terminated", True)
                         continue
                     next_byte = stream.peek() if self.all.draining else None
                     if self.ahead >= READ_AHEAD or next_byte:
-                        held.extra.done.wait(left)
+                        held.context.done.wait(left)
                         continue
                     if self.all.draining and next_byte is None:
-                        stream.until(host.READ, left, held.extra.done)  # for its end: nothing more is taken
+                        stream.until(host.READ, left, held.context.done)  # for its end: nothing more is taken
                         continue
-                    data = stream.recv_or(held.extra.done, 65536, left)
+                    data = stream.recv_or(held.context.done, 65536, left)
             except host.Timeout:
                 if not self.pending:
                     raise
@@ -226,7 +226,7 @@
         if held is None:
             every.turned_away["too much is open"] += 1
             return pg.throttled(every.rounds.advice(op), "throttled: too much is open here") + pg.READY
-        held.extra.gone = self.stream.ended
+        held.context.gone = self.stream.ended
         every.ids.add(ident)
         self.count += 1
         return held, ident
--- a/gannetfront/lab/sites.py
+++ b/gannetfront/lab/sites.py
@@ -72,7 +72,11 @@
     def told_as(self, flight, status):
         entry = self.listed.get(flight.addr)
         self.monitor.on_outcome(
-            self.world.time, entry, status, self.world.time - flight.begun, flight.held.extra.intent.op["slo"]
+            self.world.time,
+            entry,
+            status,
+            self.world.time - flight.begun,
+            flight.held.context.intent.op["slo"],
         )
         return self.monitor.status_for_decisions(entry, status)
 
--- a/gannetfront/lab/world.py
+++ b/gannetfront/lab/world.py
@@ -98,7 +98,9 @@
     # ---- decisions carried out ----
 
     def launch(self, held, seq, addr, limit):
-        flight = self.flights[held.ident, seq] = self.world.FLIGHT(self, held, seq, addr, self.world.time)
+        flight = self.flights[held.invocation_id, seq] = self.world.FLIGHT(
+            self, held, seq, addr, self.world.time
+        )
         self.world.later(limit, flight.land, TIMEOUT)
         self.world.send(flight)
 
@@ -109,7 +111,7 @@
 
     def ended(self, held, kind, facts):
         if kind != "gone":
-            held.extra.answered(kind, *facts)
+            held.context.answered(kind, *facts)
 
     def vote(self, stage, ver, verdict):
         world = self.world
@@ -149,7 +151,7 @@
             return
         self.over = True
         world, shell = self.shell.world, self.shell
-        del shell.flights[self.held.ident, self.seq]
+        del shell.flights[self.held.invocation_id, self.seq]
         if status in (TIMEOUT, CANCELLED) and self.job:
             world.later(world.wire(), world.drop, self.place, self.job)
         if status == SUCCEEDED:
@@ -343,7 +345,7 @@
         shell.up, shell.lives = False, shell.lives + 1
         self.events.append((self.time, "proxy killed", str(n), ""))
         for one in held:
-            one.extra.killed()
+            one.context.killed()
         for flight in list(shell.flights.values()):
             if flight.job:
                 self.later(self.wire(), self.drop, flight.place, flight.job)
@@ -371,9 +373,9 @@
             self.later(self.same, flight.land, UNCONNECTED)
             return
         held = flight.held
-        a = held.extra.arrival
+        a = held.context.arrival
         job = Job(
-            held.extra.request,
+            held.context.request,
             shell.name,
             flight.seq,
             a.operation,
--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -15,16 +15,21 @@
 from ..interface import MOOT
 
 
-class Held:
+class HeldInvocation:
     """An invocation that is owed its answer.
 
     `deadline` is the time in ms by which it must be answered, `next_seq` the number of its next dispatch,
-    `answer` the final answer as (kind, *details) or None, and `extra` belongs to the runner."""
+    `answer` the final answer as (kind, *details) or None, and `context` belongs to the runner."""
 
-    __slots__ = "ident", "operation", "deadline", "next_seq", "answer", "extra"
+    __slots__ = "invocation_id", "operation", "deadline", "next_seq", "answer", "context"
 
-    def __init__(self, invocation_id, operation, deadline, extra):
-        self.ident, self.operation, self.deadline, self.extra = invocation_id, operation, deadline, extra
+    def __init__(self, invocation_id, operation, deadline, context):
+        self.invocation_id, self.operation, self.deadline, self.context = (
+            invocation_id,
+            operation,
+            deadline,
+            context,
+        )
         self.next_seq, self.answer = 0, None
 
 
@@ -40,11 +45,11 @@
 
     # ---- input ----
 
-    def take(self, operation, tenant, key, deadline, time_left, extra):
-        """Registers an invocation and returns it as a Held. The balancer receives it in the next step."""
+    def take(self, operation, tenant, key, deadline, time_left, context):
+        """Registers an invocation and returns it. The balancer receives it in the next step."""
         self.last_id += 1
-        held = self.held[self.last_id] = Held(self.last_id, operation, deadline, extra)
-        self.events.append(("invocation", held.ident, key, operation, tenant, time_left))
+        held = self.held[self.last_id] = HeldInvocation(self.last_id, operation, deadline, context)
+        self.events.append(("invocation", held.invocation_id, key, operation, tenant, time_left))
         return held
 
     def end(self, held, kind, *details):
@@ -59,18 +64,20 @@
     def leave(self, held, kind="gone", *details):
         """Ends an invocation whose client has gone or whose time is up, and informs the balancer."""
         if self.end(held, kind, *details):
-            self.events.append(("client_gone", held.ident))
+            self.events.append(("client_gone", held.invocation_id))
 
     def landed(self, held, seq, life, address, status, duration, load):
         """Reports the outcome of a dispatch. It is ignored if the balancer was restarted since (`life`)."""
         if life == self.life:
             self.events.append(
-                ("outcome", held.ident, seq, address, status, duration, held.answer is not None, load)
+                ("outcome", held.invocation_id, seq, address, status, duration, held.answer is not None, load)
             )
 
     def stands(self, held, seq, life, now):
         """Tells, right before the first byte, whether a dispatch that had to wait is still to be sent."""
-        return life == self.life and held.answer is None and self.balancer.stands(now, held.ident, seq)
+        return (
+            life == self.life and held.answer is None and self.balancer.stands(now, held.invocation_id, seq)
+        )
 
     def due(self):
         """Returns the time of the next timer, or None."""
@@ -113,7 +120,7 @@
     def launch_unless_answered(self, held, seq, address, limit):
         if held.answer is not None:
             # Answered between the round's events and now: the dispatch is not sent.
-            self.events.append(("outcome", held.ident, seq, address, MOOT, 0.0, True, {}))
+            self.events.append(("outcome", held.invocation_id, seq, address, MOOT, 0.0, True, {}))
         else:
             self.runner.launch(held, seq, address, limit)
 
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -157,7 +157,7 @@
                 False,
                 None,
             )
-        held.extra.gone = stream.ended
+        held.context.gone = stream.ended
         client_gone, later_bad_request = self.wait(stream, reader, held, margin)
         if client_gone:
             return b"", False, True, None
@@ -178,12 +178,12 @@
             try:
                 full = bad_request or len(reader.ready) >= MAX_PIPELINED or reader.ahead
                 if full and len(reader.ahead) >= MAX_READ_AHEAD:
-                    held.extra.done.wait(time_left)
+                    held.context.done.wait(time_left)
                     return False, bad_request
-                data = stream.recv_or(held.extra.done, 65536, time_left)
+                data = stream.recv_or(held.context.done, 65536, time_left)
             except host.Timeout:
                 # No decision came in time, for whatever reason: the client is answered while it still waits.
-                self.log.error("answer overdue", inv=held.ident)
+                self.log.error("answer overdue", inv=held.invocation_id)
                 self.rounds.leave(held, "terminated", True)
                 return False, bad_request
             except OSError:
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -80,7 +80,7 @@
         self.mailbox.put(None)
 
     def take(self, operation, tenant, key, time_left, *content):
-        """Returns the Held of a new invocation, or None if it is refused.
+        """Returns the HeldInvocation of a new invocation, or None if it is refused.
 
         `why` then holds the reason and `wait` the ms after which the client may retry."""
         refusal = self.turned_away(operation)
@@ -139,11 +139,11 @@
         """Records the final answer of an invocation and wakes the greenlet of its client."""
         if kind == "terminated" and not details:
             held.answer = kind, host.now() >= held.deadline - 5
-        in_time = kind == "succeeded" and host.now() - held.extra.begun <= self.slo_times[held.operation]
-        self.watch.answered(kind, in_time, held.extra.tenant, held.operation)
+        in_time = kind == "succeeded" and host.now() - held.context.begun <= self.slo_times[held.operation]
+        self.watch.answered(kind, in_time, held.context.tenant, held.operation)
         if self.trail:
-            self.trail.append("answer", request=held.extra.name, op=held.operation, answer=kind)
-        held.extra.done.set()
+            self.trail.append("answer", request=held.context.name, op=held.operation, answer=kind)
+        held.context.done.set()
 
     def call_off(self, invocation_id, seq):
         """Stops waiting for a dispatch."""
@@ -158,13 +158,13 @@
         def still_wanted(waited):
             return (
                 held.answer is None
-                and not held.extra.gone()
+                and not held.context.gone()
                 and (not waited or self.carrier.stands(held, seq, life, host.now()))
             )
 
-        flight = self.flights[held.ident, seq] = Flight(
+        flight = self.flights[held.invocation_id, seq] = Flight(
             address,
-            lambda time_left: self.codec.dispatch(held.extra.content, address, self.name, seq, time_left),
+            lambda time_left: self.codec.dispatch(held.context.content, address, self.name, seq, time_left),
             limit,
             self.codec.Reply(self.answer_limit),
             still_wanted,
@@ -183,7 +183,7 @@
             self.carrier.end(held, SUCCEEDED, *answer.content())
         duration = host.now() - flight.begun
         if life == self.carrier.life:
-            del self.flights[held.ident, seq]
+            del self.flights[held.invocation_id, seq]
             self.observe(flight.addr, held.operation, status, duration)
             self.watch.dispatched(self.build_of(flight.addr), status, status == SUCCEEDED)
             self.carrier.landed(
@@ -205,7 +205,7 @@
         retry is harmless."""
         if not self.trail or not self.must[held.operation]:
             return flight.fly(pool)
-        record = dict(request=held.extra.name, op=held.operation, seq=seq, node=flight.addr)
+        record = dict(request=held.context.name, op=held.operation, seq=seq, node=flight.addr)
         try:
             self.trail.written("intent", max(1.0, flight.time_left()), **record)
         except Refused:
