--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -85,7 +85,7 @@
             # Whatever ended it, nobody waits here any more: dispatches are called off, ids may come again.
             for answer in self.pending:
                 if type(answer) is tuple:
-                    self.all.rounds.leave(answer[0])
+                    self.all.rounds.abandon(answer[0])
                     self.all.ids.discard(answer[1])
 
     def converse(self):
@@ -119,7 +119,7 @@
                     if left <= 0:
                         # Nothing decided in time, whatever the reason: the client must hear something while it listens.
                         self.all.log.error("answer overdue", inv=held.invocation_id)
-                        self.all.rounds.leave(held, "terminated", True)
+                        self.all.rounds.abandon(held, "terminated", True)
                         continue
                     next_byte = stream.peek() if self.all.draining else None
                     if self.ahead >= READ_AHEAD or next_byte:
@@ -222,7 +222,7 @@
             raise pg.BadMessage(b"23505", "an invocation with this id is open")
         self.bad = 0
         left = max(0.0, min(left, every.limits[op]) - MARGIN)
-        held = every.rounds.take(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
+        held = every.rounds.accept(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
         if held is None:
             every.turned_away["too much is open"] += 1
             return pg.throttled(every.rounds.advice(op), "throttled: too much is open here") + pg.READY
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -139,7 +139,7 @@
                     rounds=rounds.rounds,
                     decisions_ms=round(rounds.spent - spent),
                     turned_away=away,
-                    ends={f"{k} {o}": n for (k, o), n in sorted(rounds.ends.items())},
+                    ends={f"{k} {o}": n for (k, o), n in sorted(rounds.answer_counts.items())},
                 )
                 spent = rounds.spent
 
--- a/gannetfront/lab/world.py
+++ b/gannetfront/lab/world.py
@@ -86,7 +86,7 @@
         self.carrier.step(self.world.time)
         if self.carrier.events:
             self.poke()
-        due = self.carrier.due()
+        due = self.carrier.next_timer_due()
         if due is not None and not self.world.time < self.wakes <= due:
             self.wakes = max(due, self.world.time + 0.001)
             self.world.later(self.wakes - self.world.time, self.wake, life)
@@ -104,12 +104,12 @@
         self.world.later(limit, flight.land, TIMEOUT)
         self.world.send(flight)
 
-    def call_off(self, ident, seq):
+    def cancel_dispatch(self, ident, seq):
         flight = self.flights.get((ident, seq))
         if flight:
             flight.land(CANCELLED)
 
-    def ended(self, held, kind, facts):
+    def on_answer(self, held, kind, facts):
         if kind != "gone":
             held.context.answered(kind, *facts)
 
@@ -136,7 +136,7 @@
         """As the decisions are to hear of it."""
         return status
 
-    def line(self, line):
+    def log_decision(self, line):
         self.world.lines.append((self.world.time, self.number, line))
 
 
@@ -155,11 +155,11 @@
         if status in (TIMEOUT, CANCELLED) and self.job:
             world.later(world.wire(), world.drop, self.place, self.job)
         if status == SUCCEEDED:
-            shell.carrier.end(self.held, SUCCEEDED)
-        shell.carrier.landed(
+            shell.carrier.finish(self.held, SUCCEEDED)
+        shell.carrier.report_outcome(
             self.held,
             self.seq,
-            shell.carrier.life,
+            shell.carrier.generation,
             self.addr,
             shell.told_as(self, status),
             world.time - self.begun,
@@ -190,7 +190,7 @@
         elif not self.over:
             a, world = self.arrival, self.world
             left = max(0.0, min(self.patience, self.intent.op["limit"]) - MARGIN - world.near)
-            self.held = self.shell.carrier.take(
+            self.held = self.shell.carrier.accept(
                 world.op_of[a.operation],
                 world.tenant_of.get(a.tenant.rpartition("-")[0] or a.tenant, world.tenant_of.get(a.tenant, 0))
                 if a.tenant
@@ -206,7 +206,7 @@
         if not self.over:
             self.finish("left")
             if self.held and self.shell.up:
-                self.shell.carrier.leave(self.held)
+                self.shell.carrier.abandon(self.held)
                 self.shell.poke()
 
     def answered(self, kind, *facts):
--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -3,11 +3,11 @@
 The Carrier keeps the invocations that are owed an answer, numbers the dispatches of each and holds the
 balancer's timers. Its runner (proxy/rounds.py on sockets, lab/world.py in virtual time) appends to `events`,
 calls `step`, and provides the functions that carry out decisions:
-  launch(held, seq, address, limit)   sends a dispatch; its outcome is reported to `landed`
-  call_off(invocation_id, seq)        stops waiting for a dispatch
-  ended(held, kind, details)          is called once with the final answer of an invocation
+  launch(held, seq, address, limit)   sends a dispatch; its outcome is passed to `report_outcome`
+  cancel_dispatch(invocation_id, seq) stops waiting for a dispatch
+  on_answer(held, kind, details)      is called once with the final answer of an invocation
   vote, signal, reload, close_idle    as in interface.Writer
-  line(line)                          as Writer.log
+  log_decision(line)                  as Writer.log
 """
 
 from heapq import heappop, heappush
@@ -40,46 +40,48 @@
         """`make_balancer()` returns a fresh Balancer; `runner` provides the functions listed above."""
         self.make_balancer, self.runner, self.balancer = make_balancer, runner, make_balancer()
         self.held, self.timers, self.decisions, self.events = {}, [], [], []
-        # `life` counts the restarts: outcomes of dispatches from before a restart are ignored.
-        self.last_id, self.life, self.ends = 0, 0, {}
+        # `generation` counts the restarts: outcomes of dispatches from before a restart are ignored.
+        self.last_id, self.generation, self.answer_counts = 0, 0, {}
 
     # ---- input ----
 
-    def take(self, operation, tenant, key, deadline, time_left, context):
+    def accept(self, operation, tenant, key, deadline, time_left, context):
         """Registers an invocation and returns it. The balancer receives it in the next step."""
         self.last_id += 1
         held = self.held[self.last_id] = HeldInvocation(self.last_id, operation, deadline, context)
         self.events.append(("invocation", held.invocation_id, key, operation, tenant, time_left))
         return held
 
-    def end(self, held, kind, *details):
+    def finish(self, held, kind, *details):
         """Sets the final answer. Returns False if there is one already."""
         if held.answer is not None:
             return False
         held.answer = (kind, *details)
-        self.ends[kind, held.operation] = self.ends.get((kind, held.operation), 0) + 1
-        self.runner.ended(held, kind, details)
+        self.answer_counts[kind, held.operation] = self.answer_counts.get((kind, held.operation), 0) + 1
+        self.runner.on_answer(held, kind, details)
         return True
 
-    def leave(self, held, kind="gone", *details):
+    def abandon(self, held, kind="gone", *details):
         """Ends an invocation whose client has gone or whose time is up, and informs the balancer."""
-        if self.end(held, kind, *details):
+        if self.finish(held, kind, *details):
             self.events.append(("client_gone", held.invocation_id))
 
-    def landed(self, held, seq, life, address, status, duration, load):
-        """Reports the outcome of a dispatch. It is ignored if the balancer was restarted since (`life`)."""
-        if life == self.life:
+    def report_outcome(self, held, seq, generation, address, status, duration, load):
+        """Reports the outcome of a dispatch. Ignored if the balancer was restarted since (`generation`)."""
+        if generation == self.generation:
             self.events.append(
                 ("outcome", held.invocation_id, seq, address, status, duration, held.answer is not None, load)
             )
 
-    def stands(self, held, seq, life, now):
+    def may_send(self, held, seq, generation, now):
         """Tells, right before the first byte, whether a dispatch that had to wait is still to be sent."""
         return (
-            life == self.life and held.answer is None and self.balancer.stands(now, held.invocation_id, seq)
+            generation == self.generation
+            and held.answer is None
+            and self.balancer.stands(now, held.invocation_id, seq)
         )
 
-    def due(self):
+    def next_timer_due(self):
         """Returns the time of the next timer, or None."""
         return self.timers[0][0] if self.timers else None
 
@@ -105,9 +107,9 @@
 
         Dispatches in flight are ignored from now on, as the fresh balancer knows neither them nor, possibly,
         their nodes. Nothing is sent again, as it is no longer known what was executed."""
-        held, self.held, self.life = self.held, {}, self.life + 1
+        held, self.held, self.generation = self.held, {}, self.generation + 1
         for one in held.values():
-            self.end(one, "terminated", False)
+            self.finish(one, "terminated", False)
         self.balancer, self.timers, self.decisions, self.events = self.make_balancer(), [], [], []
 
     # ---- interface.Writer: decisions are carried out after the round that made them ----
@@ -125,18 +127,18 @@
             self.runner.launch(held, seq, address, limit)
 
     def cancel(self, invocation_id, seq):
-        self.decisions.append((self.runner.call_off, (invocation_id, seq)))
+        self.decisions.append((self.runner.cancel_dispatch, (invocation_id, seq)))
 
     def throttle(self, invocation_id, retry_in):
-        self.decisions.append((self.end_by_id, (invocation_id, "throttled", retry_in)))
+        self.decisions.append((self.finish_by_id, (invocation_id, "throttled", retry_in)))
 
     def terminate(self, invocation_id):
-        self.decisions.append((self.end_by_id, (invocation_id, "terminated")))
+        self.decisions.append((self.finish_by_id, (invocation_id, "terminated")))
 
-    def end_by_id(self, invocation_id, kind, *details):
+    def finish_by_id(self, invocation_id, kind, *details):
         held = self.held.pop(invocation_id, None)
         if held:
-            self.end(held, kind, *details)
+            self.finish(held, kind, *details)
 
     def vote(self, stage, ver, verdict):
         self.decisions.append((self.runner.vote, (stage, ver, verdict)))
@@ -160,4 +162,4 @@
         heappush(self.timers, (at, key))
 
     def log(self, line):
-        self.runner.line(line)
+        self.runner.log_decision(line)
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -149,7 +149,7 @@
         # Retries are counted by the mark (Idempotency-Key). A Gannet-Key is shared by all invocations that
         # belong together, so every caller would look like one that retries.
         self.rounds.watch.asked(host.now(), mark)
-        held = self.rounds.take(operation, tenant, key, max(0.0, time_left), url, headers, body)
+        held = self.rounds.accept(operation, tenant, key, max(0.0, time_left), url, headers, body)
         if held is None:
             return (
                 invocation.throttled(self.rounds.wait, keep, b"throttled: %s\n" % self.rounds.why),
@@ -184,14 +184,14 @@
             except host.Timeout:
                 # No decision came in time, for whatever reason: the client is answered while it still waits.
                 self.log.error("answer overdue", inv=held.invocation_id)
-                self.rounds.leave(held, "terminated", True)
+                self.rounds.abandon(held, "terminated", True)
                 return False, bad_request
             except OSError:
                 data = b""
             if data is None:
                 return False, bad_request
             if not data:
-                self.rounds.leave(held)
+                self.rounds.abandon(held)
                 return True, bad_request
             if full:
                 reader.ahead += data
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -211,7 +211,7 @@
     def collect(self):
         rounds = self.rounds
         ends = CounterMetricFamily("gannet_invocations", "final answers", labels=("operation", "answer"))
-        for (kind, op), count in sorted(rounds.ends.items()):
+        for (kind, op), count in sorted(rounds.answer_counts.items()):
             ends.add_metric((self.ops[op], kind), count)
         yield ends
         for name, what, value in (
@@ -315,7 +315,7 @@
         while host.now() < end and any(s in self.clients.busy or s.waiting() for s in self.clients.open):
             host.sleep(10)
         for held in list(self.rounds.held.values()):
-            self.rounds.carrier.end(held, "terminated", False)
+            self.rounds.carrier.finish(held, "terminated", False)
         host.sleep(20)
         for stream in list(self.clients.open):
             stream.close()
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -59,7 +59,7 @@
 
     held = property(lambda self: self.carrier.held)
     balancer = property(lambda self: self.carrier.balancer)
-    ends = property(lambda self: self.carrier.ends)
+    answer_counts = property(lambda self: self.carrier.answer_counts)
 
     def tell(self, *event):
         """Puts an event for the balancer into the mailbox, from another greenlet. Waits while it is full."""
@@ -79,7 +79,7 @@
         """Starts a round for events that were appended directly to the carrier's."""
         self.mailbox.put(None)
 
-    def take(self, operation, tenant, key, time_left, *content):
+    def accept(self, operation, tenant, key, time_left, *content):
         """Returns the HeldInvocation of a new invocation, or None if it is refused.
 
         `why` then holds the reason and `wait` the ms after which the client may retry."""
@@ -97,13 +97,13 @@
             self.why, self.wait = refusal
             return None
         request = Request(content, self.codec.name_of(content), tenant)
-        held = self.carrier.take(operation, tenant, key, host.now() + time_left, time_left, request)
+        held = self.carrier.accept(operation, tenant, key, host.now() + time_left, time_left, request)
         self.wake()
         return held
 
-    def leave(self, held, kind="gone", *details):
+    def abandon(self, held, kind="gone", *details):
         """Ends an invocation whose client has gone or whose time is up."""
-        self.carrier.leave(held, kind, *details)
+        self.carrier.abandon(held, kind, *details)
         self.wake()
 
     # ---- the loop ----
@@ -111,7 +111,7 @@
     def run(self):
         """Runs a round whenever there are events or a timer is due, at most one in each `tick`."""
         while True:
-            due = self.carrier.due()
+            due = self.carrier.next_timer_due()
             first = self.mailbox.take(None if due is None else due - host.now())
             early = self.last_round + self.tick - host.now()
             if early > 0:
@@ -135,7 +135,7 @@
 
     # ---- carrying out decisions ----
 
-    def ended(self, held, kind, details):
+    def on_answer(self, held, kind, details):
         """Records the final answer of an invocation and wakes the greenlet of its client."""
         if kind == "terminated" and not details:
             held.answer = kind, host.now() >= held.deadline - 5
@@ -145,7 +145,7 @@
             self.trail.append("answer", request=held.context.name, op=held.operation, answer=kind)
         held.context.done.set()
 
-    def call_off(self, invocation_id, seq):
+    def cancel_dispatch(self, invocation_id, seq):
         """Stops waiting for a dispatch."""
         flight = self.flights.get((invocation_id, seq))
         if flight:
@@ -153,13 +153,13 @@
 
     def launch(self, held, seq, address, limit):
         """Starts a dispatch in a greenlet of its own."""
-        life = self.carrier.life
+        generation = self.carrier.generation
 
         def still_wanted(waited):
             return (
                 held.answer is None
                 and not held.context.gone()
-                and (not waited or self.carrier.stands(held, seq, life, host.now()))
+                and (not waited or self.carrier.may_send(held, seq, generation, host.now()))
             )
 
         flight = self.flights[held.invocation_id, seq] = Flight(
@@ -170,9 +170,9 @@
             still_wanted,
         )
         # The pool as of now: a later list may give the address to another process than the chosen one.
-        host.spawn(self.fly, held, seq, flight, life, self.pools.of(address))
+        host.spawn(self.fly, held, seq, flight, generation, self.pools.of(address))
 
-    def fly(self, held, seq, flight, life, pool):
+    def fly(self, held, seq, flight, generation, pool):
         try:
             status, answer = self.recorded(held, seq, flight, pool)
         except Exception as error:  # noqa: BLE001 - every dispatch must have an outcome
@@ -180,16 +180,16 @@
             self.logger.error("dispatch failed", why=f"{type(error).__name__}: {error}", node=flight.addr)
             status, answer = RESET, None
         if status == SUCCEEDED:
-            self.carrier.end(held, SUCCEEDED, *answer.content())
+            self.carrier.finish(held, SUCCEEDED, *answer.content())
         duration = host.now() - flight.begun
-        if life == self.carrier.life:
+        if generation == self.carrier.generation:
             del self.flights[held.invocation_id, seq]
             self.observe(flight.addr, held.operation, status, duration)
             self.watch.dispatched(self.build_of(flight.addr), status, status == SUCCEEDED)
-            self.carrier.landed(
+            self.carrier.report_outcome(
                 held,
                 seq,
-                life,
+                generation,
                 flight.addr,
                 self.told_as(flight.addr, status),
                 duration,
@@ -235,7 +235,7 @@
         """Asks the controller for the whole node list."""
         self.link.ask_whole()
 
-    def line(self, line):
+    def log_decision(self, line):
         """Logs a line of the balancer. The last one goes with the next vote as its figures."""
         self.last_line = line
         self.logger.info("decision", line=line)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -438,9 +438,9 @@
     client.write(select("01"))
     one.until(lambda: one.edge.rounds.held)
     (held,) = one.edge.rounds.held.values()
-    assert one.edge.rounds.carrier.end(held, i.SUCCEEDED, GOOD[:-6]) and not one.edge.rounds.carrier.end(
-        held, "terminated", False
-    )
+    assert one.edge.rounds.carrier.finish(
+        held, i.SUCCEEDED, GOOD[:-6]
+    ) and not one.edge.rounds.carrier.finish(held, "terminated", False)
     assert verdict(client.until(b"Z")) == b"value"
 
 
