--- a/bench/sidebyside.py
+++ b/bench/sidebyside.py
@@ -63,13 +63,13 @@
                     reader.feed(data)
                 _, path, headers, body, keep = reader.ready.pop(0)
                 addr = next(turn)
-                pool = pools.of(addr)
-                up, _ = pool.take(1000.0)
+                pool = pools.pool_for(addr)
+                up, _ = pool.acquire(1000.0)
                 answer = http.AnswerReader(1 << 20)
                 up.send(http.request(path, addr.encode(), http.carried(headers), body))
                 while not answer.whole:
                     answer.feed(up.recv(65536))
-                pool.give(up, answer.reusable)
+                pool.release(up, answer.reusable)
                 stream.send(http.answer(answer.status, http.carried(answer.headers), answer.body, keep))
         except OSError:
             pass
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -86,7 +86,7 @@
             raise
 
     def room(self):
-        return self.pools.size() < self.budget.nodes_most or self.pools.oldest_idle()
+        return self.pools.size() < self.budget.nodes_most or self.pools.close_oldest_idle()
 
     def refill(self):
         self.rounds.tell("listed", "whole", tuple(entry for entry, _, _ in self.discovery.entries.values()))
--- a/gannetfront/proxy/flights.py
+++ b/gannetfront/proxy/flights.py
@@ -54,7 +54,7 @@
             if self.time_left() <= 0:
                 return UNCONNECTED, None
             try:
-                stream, fresh = pool.take(self.time_left())
+                stream, fresh = pool.acquire(self.time_left())
             except host.Refused as refusal:
                 return STATUS_BY_REFUSAL.get(refusal.kind, UNCONNECTED), None
             status, answer, broke, unused = UNCONNECTED, None, None, False
@@ -74,7 +74,7 @@
                 status, answer = self.exchange(stream, self.encode(self.time_left()))
                 broke = True if status == RESET and not self.received_any else False if answer else None
             finally:
-                pool.give(stream, unused or answer is not None and answer.reusable, broke)
+                pool.release(stream, unused or answer is not None and answer.reusable, broke)
             # A reused connection that breaks before the first byte has carried nothing: another may be tried.
             if status != UNCONNECTED or fresh:
                 return status, answer
--- a/gannetfront/proxy/keeping.py
+++ b/gannetfront/proxy/keeping.py
@@ -32,7 +32,7 @@
 )
 
 
-class Keeping:
+class IdleTimeEstimator:
     """Estimates the idle time up to which connections are safe to reuse, from how requests on them ended."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
             0.0,
         )
 
-    def saw(self, now, idle_time, broke):
+    def record(self, now, idle_time, broke):
         """Records how a request ended on a connection that was idle for `idle_time` ms, or new (None).
 
         `broke` tells whether the connection broke before any byte of an answer."""
@@ -54,7 +54,7 @@
         if broke:
             self.next_estimate_at = 0.0  # a break is taken into account at once
 
-    def trusted(self, now):
+    def reusable_idle_time(self, now):
         """Returns the idle time in ms below which a connection may be reused."""
         if now >= self.next_estimate_at:
             self.next_estimate_at, self.limit = now + 500.0, self.estimate(now - SAMPLE_TTL_MS)
--- a/gannetfront/proxy/pools.py
+++ b/gannetfront/proxy/pools.py
@@ -5,7 +5,7 @@
 """
 
 from .. import host
-from .keeping import Keeping
+from .keeping import IdleTimeEstimator
 
 
 class Pool:
@@ -19,52 +19,57 @@
         connect_limit,
         connect=host.connect,
         room=lambda: True,
-        keeping=None,
+        idle_estimator=None,
     ):
         """`connect(address, limit)` returns a stream that can carry a request, or raises host.Refused.
-        `room()` tells whether one more descriptor may be opened. `keeping` estimates the safe idle time and
-        is shared by all pools."""
+        `room()` tells whether one more descriptor may be opened. `idle_estimator` estimates the safe idle
+        time and is shared by all pools."""
         self.address, self.capacity, self.idle_limit, self.connect_limit = (
             address,
             capacity,
             idle_limit,
             connect_limit,
         )
-        self.connect, self.room, self.retired, self.keeping = connect, room, False, keeping or Keeping()
-        self.out, self.idle = 0, []  # idle: (since, stream), oldest first
+        self.connect, self.room, self.retired, self.idle_estimator = (
+            connect,
+            room,
+            False,
+            idle_estimator or IdleTimeEstimator(),
+        )
+        self.in_use, self.idle = 0, []  # idle: (since, stream), oldest first
 
-    def take(self, limit):
+    def acquire(self, limit):
         """Returns (stream, whether it is new). Raises host.Refused, which means that nothing was sent."""
         now = host.now()
-        self.close_idle(min(self.idle_limit, self.keeping.trusted(now)))
+        self.close_idle(min(self.idle_limit, self.idle_estimator.reusable_idle_time(now)))
         while self.idle:
             since, stream = self.idle.pop()
             # A request written to a connection that the node has closed may or may not have been executed,
             # and a retry could execute it twice. A connection whose end is visible before the first byte
             # isn't used.
             if not stream.waiting():
-                self.out += 1
-                stream.idled = now - since
+                self.in_use += 1
+                stream.idle_time = now - since
                 return stream, False
             stream.close()
-        if self.out + len(self.idle) >= self.capacity or not self.room():
+        if self.in_use + len(self.idle) >= self.capacity or not self.room():
             raise host.Refused("pool full")
-        self.out += 1
+        self.in_use += 1
         try:
             stream = self.connect(self.address, min(self.connect_limit, limit))
-            stream.idled = None
+            stream.idle_time = None
             return stream, True
         except BaseException:
-            self.out -= 1
+            self.in_use -= 1
             raise
 
-    def give(self, stream, reusable, broke=None):
+    def release(self, stream, reusable, broke=None):
         """Returns a stream to the pool, or closes it.
 
         `broke` tells whether the connection broke before any byte of an answer; None if that isn't known."""
-        self.out -= 1
+        self.in_use -= 1
         if broke is not None:
-            self.keeping.saw(host.now(), stream.idled, broke)
+            self.idle_estimator.record(host.now(), stream.idle_time, broke)
         if reusable and stream.open and not self.retired:
             self.idle.append((host.now(), stream))
         else:
@@ -82,34 +87,34 @@
 
     def __init__(self, capacity, idle_limit, connect_limit, *connection_hooks):
         """The arguments are those of Pool; `connection_hooks` are its optional `connect` and `room`."""
-        self.pool_arguments, self.by_addr, self.idle_limit = (
+        self.pool_arguments, self.by_address, self.idle_limit = (
             (capacity, idle_limit, connect_limit, *connection_hooks),
             {},
             idle_limit,
         )
-        self.keeping = Keeping()
+        self.idle_estimator = IdleTimeEstimator()
 
-    def of(self, address):
+    def pool_for(self, address):
         """Returns the pool of a node, which is created on first use."""
-        if address not in self.by_addr:
-            self.by_addr[address] = Pool(address, *self.pool_arguments, keeping=self.keeping)
-        return self.by_addr[address]
+        if address not in self.by_address:
+            self.by_address[address] = Pool(address, *self.pool_arguments, idle_estimator=self.idle_estimator)
+        return self.by_address[address]
 
     def close_idle(self, address):
         """Closes the idle connections to a node."""
-        if address in self.by_addr:
-            self.by_addr[address].close_idle()
+        if address in self.by_address:
+            self.by_address[address].close_idle()
 
     def retire(self, address):
         """Drops the pool of an address that another process has taken: no open connection is reused."""
-        pool = self.by_addr.pop(address, None)
+        pool = self.by_address.pop(address, None)
         if pool:
             pool.retired = True
             pool.close_idle()
 
-    def oldest_idle(self):
+    def close_oldest_idle(self):
         """Closes the connection that has been idle the longest. Returns False if none is idle."""
-        candidates = [pool for pool in self.by_addr.values() if pool.idle]
+        candidates = [pool for pool in self.by_address.values() if pool.idle]
         if candidates:
             pool = min(candidates, key=lambda pool: pool.idle[0][0])
             pool.idle.pop(0)[1].close()
@@ -117,12 +122,12 @@
 
     def sweep(self, listed):
         """Closes connections past the idle limit, and drops empty pools of nodes that are not in `listed`."""
-        for address in list(self.by_addr):
-            pool = self.by_addr[address]
+        for address in list(self.by_address):
+            pool = self.by_address[address]
             pool.close_idle(self.idle_limit)
-            if not pool.out and not pool.idle and address not in listed:
+            if not pool.in_use and not pool.idle and address not in listed:
                 self.retire(address)  # a dispatch that has the pool but has not started sends nothing
 
     def size(self):
         """Returns the number of open connections to nodes."""
-        return sum(pool.out + len(pool.idle) for pool in self.by_addr.values())
+        return sum(pool.in_use + len(pool.idle) for pool in self.by_address.values())
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -170,7 +170,7 @@
             still_wanted,
         )
         # The pool as of now: a later list may give the address to another process than the chosen one.
-        host.spawn(self.fly, held, seq, flight, generation, self.pools.of(address))
+        host.spawn(self.fly, held, seq, flight, generation, self.pools.pool_for(address))
 
     def fly(self, held, seq, flight, generation, pool):
         try:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -16,7 +16,7 @@
 from gannetfront.edge import budget, config
 from gannetfront.edge.api import ReleaseApi
 from gannetfront.proxy.flights import Flight
-from gannetfront.proxy.keeping import Keeping
+from gannetfront.proxy.keeping import IdleTimeEstimator
 from gannetfront.proxy.pools import Pool
 from gannetfront.wire import BadAnswer, http, pg, platform
 from edge_rig import (
@@ -811,22 +811,22 @@
 
 
 def test_idle_connections_that_break_more_than_new_ones_are_not_kept():
-    one = Keeping()
-    assert one.trusted(0.0) > 1e9
+    one = IdleTimeEstimator()
+    assert one.reusable_idle_time(0.0) > 1e9
     for n in range(40):
-        one.saw(n, None, n % 10 == 0)
-        one.saw(n, 60.0, n % 10 == 0)  # breaks as new ones do
-        one.saw(n, 200.0, n % 2 == 0)
-    assert one.trusted(40.0) == 160.0
-    assert one.trusted(40.0 + 11000.0) > 1e9  # what was seen long ago says nothing of now
+        one.record(n, None, n % 10 == 0)
+        one.record(n, 60.0, n % 10 == 0)  # breaks as new ones do
+        one.record(n, 200.0, n % 2 == 0)
+    assert one.reusable_idle_time(40.0) == 160.0
+    assert one.reusable_idle_time(40.0 + 11000.0) > 1e9  # what was seen long ago says nothing of now
 
 
 def test_breaks_that_meet_new_connections_alike_change_nothing():
-    one = Keeping()
+    one = IdleTimeEstimator()
     for n in range(60):
-        one.saw(n, None, n % 2 == 0)
-        one.saw(n, 300.0, n % 2 == 0)
-    assert one.trusted(60.0) > 1e9
+        one.record(n, None, n % 2 == 0)
+        one.record(n, 300.0, n % 2 == 0)
+    assert one.reusable_idle_time(60.0) > 1e9
 
 
 def test_a_connection_dropped_without_a_word_costs_few_requests():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -401,7 +401,7 @@
 def test_a_forgotten_pool_begins_nothing(rig):
     """Who holds it would put its connection where nobody closes it."""
     one = rig(PgNode())
-    pool = one.edge.pools.of("elsewhere")
+    pool = one.edge.pools.pool_for("elsewhere")
     one.edge.pools.sweep({})
     assert pool.retired
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -149,7 +149,7 @@
     flights = [host.spawn(fly, node, None, 300.0, pool) for _ in range(4)]
     host.join(flights, 2000)
     assert sorted(f.value for f in flights) == [i.MOOT] * 2 + [i.SUCCEEDED] * 2
-    assert (pool.out, len(pool.idle)) == (0, 2)
+    assert (pool.in_use, len(pool.idle)) == (0, 2)
     pool.close_idle()
     assert not pool.idle
     node.close()
@@ -159,15 +159,15 @@
     pool = Pool("127.0.0.1:1", 2, 1000.0, 200.0)
     for _ in range(5):
         with pytest.raises(host.Refused):
-            pool.take(100)
-    assert pool.out == 0
+            pool.acquire(100)
+    assert pool.in_use == 0
 
 
 def test_pools_drop_nodes_that_are_no_longer_listed():
     pools = Pools(4, 0.0, 200.0)
-    pools.of("127.0.0.1:1")
+    pools.pool_for("127.0.0.1:1")
     pools.sweep({})
-    assert not pools.by_addr
+    assert not pools.by_address
 
 
 # ---- the whole proxy ----
