--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -158,7 +158,7 @@
                 None,
             )
         held.context.gone = stream.ended
-        client_gone, later_bad_request = self.wait(stream, reader, held, margin)
+        client_gone, later_bad_request = self.wait_for_answer(stream, reader, held, margin)
         if client_gone:
             return b"", False, True, None
         kind, *details = held.answer
@@ -168,7 +168,7 @@
             return invocation.throttled(details[0], keep), keep, False, later_bad_request
         return invocation.terminated(details[0], keep), keep, False, later_bad_request
 
-    def wait(self, stream, reader, held, margin):
+    def wait_for_answer(self, stream, reader, held, margin):
         """Waits for the final answer; returns (whether the client has gone, BadRequest or None).
 
         It reads on meanwhile, as the end of the stream means that the client has gone."""
--- a/gannetfront/proxy/flights.py
+++ b/gannetfront/proxy/flights.py
@@ -23,30 +23,30 @@
 
 
 class Flight:
-    """A dispatch in flight to the node at `addr`. Setting `stop` calls it off; `begun` is its start in ms."""
+    """A dispatch in flight to the node at `address`, since `started_at` ms. Setting `stop` cancels it."""
 
-    def __init__(self, addr, encode, limit, reader, still_wanted=lambda waited: True):
+    def __init__(self, address, encode, limit, reader, still_wanted=lambda waited: True):
         """`encode(time_left)` returns the request's bytes, with the ms that the node has left. `limit` is the
         time limit in ms and `reader` reads the answer. `still_wanted(waited)` tells whether the dispatch is
         still to be sent, where `waited` tells whether it had to wait for a disk or a connection."""
-        self.addr, self.encode, self.limit, self.reader, self.still_wanted = (
-            addr,
+        self.address, self.encode, self.limit, self.reader, self.still_wanted = (
+            address,
             encode,
             limit,
             reader,
             still_wanted,
         )
-        self.stop, self.begun, self.waited = host.Once(), host.now(), False
+        self.stop, self.started_at, self.waited = host.Once(), host.now(), False
 
     def exclude_wait(self):
         """Starts the clock again: the time until now was not spent at the node."""
-        self.limit, self.begun, self.waited = self.time_left(), host.now(), True
+        self.limit, self.started_at, self.waited = self.time_left(), host.now(), True
 
     def time_left(self):
         """Returns the ms until the time limit."""
-        return self.begun + self.limit - host.now()
+        return self.started_at + self.limit - host.now()
 
-    def fly(self, pool):
+    def run(self, pool):
         """Sends the dispatch; returns (status, complete answer or None) within the time limit."""
         while True:
             if self.stop.ready() or pool.retired:
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -170,42 +170,42 @@
             still_wanted,
         )
         # The pool as of now: a later list may give the address to another process than the chosen one.
-        host.spawn(self.fly, held, seq, flight, generation, self.pools.pool_for(address))
+        host.spawn(self.run_dispatch, held, seq, flight, generation, self.pools.pool_for(address))
 
-    def fly(self, held, seq, flight, generation, pool):
+    def run_dispatch(self, held, seq, flight, generation, pool):
         try:
-            status, answer = self.recorded(held, seq, flight, pool)
+            status, answer = self.run_recorded(held, seq, flight, pool)
         except Exception as error:  # noqa: BLE001 - every dispatch must have an outcome
             # Else the balancer counts it as in flight for ever: the client waits, the node looks loaded.
-            self.logger.error("dispatch failed", why=f"{type(error).__name__}: {error}", node=flight.addr)
+            self.logger.error("dispatch failed", why=f"{type(error).__name__}: {error}", node=flight.address)
             status, answer = RESET, None
         if status == SUCCEEDED:
             self.carrier.finish(held, SUCCEEDED, *answer.content())
-        duration = host.now() - flight.begun
+        duration = host.now() - flight.started_at
         if generation == self.carrier.generation:
             del self.flights[held.invocation_id, seq]
-            self.observe(flight.addr, held.operation, status, duration)
-            self.watch.dispatched(self.build_of(flight.addr), status, status == SUCCEEDED)
+            self.observe(flight.address, held.operation, status, duration)
+            self.watch.dispatched(self.build_of(flight.address), status, status == SUCCEEDED)
             self.carrier.report_outcome(
                 held,
                 seq,
                 generation,
-                flight.addr,
-                self.told_as(flight.addr, status),
+                flight.address,
+                self.told_as(flight.address, status),
                 duration,
                 answer.load() if answer else {},
             )
             self.wake()
 
-    def recorded(self, held, seq, flight, pool):
+    def run_recorded(self, held, seq, flight, pool):
         """Runs a dispatch; returns (status, complete answer or None).
 
         A dispatch that must not be executed twice is sent only once its intent is on disk. If the intent
         can't be written the dispatch is not sent: nothing was executed, so the client may be told that a
         retry is harmless."""
         if not self.trail or not self.must[held.operation]:
-            return flight.fly(pool)
-        record = dict(request=held.context.name, op=held.operation, seq=seq, node=flight.addr)
+            return flight.run(pool)
+        record = dict(request=held.context.name, op=held.operation, seq=seq, node=flight.address)
         try:
             self.trail.written("intent", max(1.0, flight.time_left()), **record)
         except Refused:
@@ -213,7 +213,7 @@
             self.trail.append("outcome", status=MOOT, **record)
             return MOOT, None
         flight.exclude_wait()
-        status, answer = flight.fly(pool)
+        status, answer = flight.run(pool)
         self.trail.append("outcome", status=status, **record)
         return status, answer
 
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -81,7 +81,7 @@
         self.rounds.tell("listed", "changes", self.entries_for_decisions(self.entries()))
         for flight in list(self.rounds.flights.values()):
             # Nobody answers there: what may run again elsewhere goes there now, of the rest its client hears now.
-            if self.monitor.zone_of(self.entry(flight.addr)) in gone:
+            if self.monitor.zone_of(self.entry(flight.address)) in gone:
                 flight.stop.set()
 
     def stages(self):
@@ -110,7 +110,7 @@
     # ---- greenlets ----
 
     def probes(self):
-        out = [(self.entry(flight.addr), flight.begun) for flight in self.rounds.flights.values()]
+        out = [(self.entry(flight.address), flight.started_at) for flight in self.rounds.flights.values()]
         for zone, addr in self.monitor.to_probe(host.now(), self.entries(), out, self.chance.random):
             host.spawn(self.probe, zone, addr)
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -367,8 +367,8 @@
 # What is taken out of the decisions, as text run in each proxy before it starts.
 GUARDS = {
     None: "",
-    "answered": "from gannetfront.proxy.clients import Clients as C; w = C.wait\n"
-    "C.wait = lambda self, stream, reader, held, margin: w(self, stream, reader, held, 4000.0)\n"
+    "answered": "from gannetfront.proxy.clients import Clients as C; w = C.wait_for_answer\n"
+    "C.wait_for_answer = lambda self, stream, reader, held, margin: w(self, stream, reader, held, 4000.0)\n"
     "B.sweep = lambda self: None; B.give_up = lambda self, ident, inv: None",
     "effects": "B.may_go = lambda self, inv: len(inv.tries) < 4",
     "drains": "S = balance.Server; i = S.__init__\n"
@@ -421,7 +421,7 @@
     "intents": (
         "proxy",
         "from gannetfront.proxy.rounds import Rounds as R\n"
-        "R.recorded = lambda self, held, seq, flight, pool: flight.fly(pool)",
+        "R.run_recorded = lambda self, held, seq, flight, pool: flight.run(pool)",
         "trails",
     ),
     "repeats": (
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -342,7 +342,7 @@
     flight = Flight(node.at, lambda left: data, limit, pg.Reply(1 << 18))
     if stop_after:
         host.later(stop_after, flight.stop.set)
-    return flight.fly(pool or Pool(node.at, 4, 1000.0, 100.0, greeted))
+    return flight.run(pool or Pool(node.at, 4, 1000.0, 100.0, greeted))
 
 
 def greeted(at, limit):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -130,7 +130,7 @@
 
     host.spawn(host.serve, listener, deaf, Log())
     flight = Flight(listener.where, lambda left: b"Q" * (16 << 20), 20000.0, pg.Reply(1 << 18))
-    flown = host.spawn(flight.fly, Pool(listener.where, 4, 1000.0, 1000.0, greeted))
+    flown = host.spawn(flight.run, Pool(listener.where, 4, 1000.0, 1000.0, greeted))
     while not stuck:
         host.sleep(1)
     flight.stop.set()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -31,7 +31,7 @@
     )
     if stop_after is not None:
         host.later(stop_after, flight.stop.set)
-    return flight.fly(pool or Pool(node.at, 4, 1000.0, 200.0))[0]
+    return flight.run(pool or Pool(node.at, 4, 1000.0, 200.0))[0]
 
 
 # ---- the status that each way of ending on a node's socket proves ----
@@ -119,7 +119,7 @@
         host.sleep(300)
 
     host.spawn(host.serve, listener, answer_early, None)
-    assert Flight(listener.where, lambda left: BIG, 200.0, invocation.Reply(1 << 20)).fly(
+    assert Flight(listener.where, lambda left: BIG, 200.0, invocation.Reply(1 << 20)).run(
         Pool(listener.where, 4, 1e3, 200.0)
     )[0] in (i.TIMEOUT, i.FULL)
     listener.close()
@@ -129,7 +129,7 @@
     listener = host.Listener("127.0.0.1:0")
     host.spawn(host.serve, listener, lambda stream: host.sleep(2000), None)
     assert (
-        Flight(listener.where, lambda left: BIG, 100.0, invocation.Reply(1 << 20)).fly(
+        Flight(listener.where, lambda left: BIG, 100.0, invocation.Reply(1 << 20)).run(
             Pool(listener.where, 4, 1e3, 200.0)
         )[0]
         == i.TIMEOUT
