--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -49,7 +49,9 @@
         try:
             if not self.budget.enter(stream):
                 self.turned_away["no descriptor"] += 1
-                soonest = min(map(self.rounds.advice, range(len(self.limits))))  # what it wants is not known
+                soonest = min(
+                    map(self.rounds.retry_advice, range(len(self.limits)))
+                )  # what it wants is not known
                 stream.send(pg.throttled(soonest, "too many connections", True), 0.0)
             elif not Session(self, stream).run():
                 return
@@ -225,7 +227,7 @@
         held = every.rounds.accept(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
         if held is None:
             every.turned_away["too much is open"] += 1
-            return pg.throttled(every.rounds.advice(op), "throttled: too much is open here") + pg.READY
+            return pg.throttled(every.rounds.retry_advice(op), "throttled: too much is open here") + pg.READY
         held.context.gone = self.stream.ended
         every.ids.add(ident)
         self.count += 1
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -35,9 +35,9 @@
             start.me,
             pg,
         )
-        self.rounds.refill, self.rounds.build_of = self.refill, lambda name: self.discovery.build(name)
+        self.rounds.on_restart, self.rounds.build_of = self.refill, lambda name: self.discovery.build(name)
         jitter = host.Jitter(start.seed + 1)
-        self.rounds.know(start.facts, come_back, jitter)
+        self.rounds.set_retry_advice(start.facts, come_back, jitter)
         self.discovery = Discovery(
             start.discovery,
             start.listing,
@@ -54,7 +54,7 @@
         self.signals, self.done, self.drains, self.listen = None, host.Once(), False, start.listen
         if start.facts.may_signal and start.peer_listen:
             self.signals = Signals(start.me, start.peer_listen, self.rounds.tell, bare=True)
-            self.signals.know(start.peers)
+            self.signals.set_peers(start.peers)
             self.rounds.signals = self.signals
         self.discovery.take(*start.known, "kept")
         self.api.state(False, SUCCEEDED, start.news)
@@ -136,12 +136,12 @@
                     clients=len(self.clients.open),
                     to_nodes=self.pools.size(),
                     bound=min(1e6, round(rounds.balancer.limit, 1)),
-                    rounds=rounds.rounds,
-                    decisions_ms=round(rounds.spent - spent),
+                    rounds=rounds.round_count,
+                    decisions_ms=round(rounds.decision_time - spent),
                     turned_away=away,
                     ends={f"{k} {o}": n for (k, o), n in sorted(rounds.answer_counts.items())},
                 )
-                spent = rounds.spent
+                spent = rounds.decision_time
 
     def reload(self):
         """SIGHUP: the addresses of the file as it is now; one that cannot be read leaves those in force."""
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -152,7 +152,9 @@
         held = self.rounds.accept(operation, tenant, key, max(0.0, time_left), url, headers, body)
         if held is None:
             return (
-                invocation.throttled(self.rounds.wait, keep, b"throttled: %s\n" % self.rounds.why),
+                invocation.throttled(
+                    self.rounds.retry_after, keep, b"throttled: %s\n" % self.rounds.refusal_reason
+                ),
                 keep,
                 False,
                 None,
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -39,8 +39,8 @@
             mine.me,
             invocation,
         )
-        self.rounds.refill = self.refill
-        self.rounds.know(facts, come_back, host.chance(mine.seed, 5))
+        self.rounds.on_restart = self.refill
+        self.rounds.set_retry_advice(facts, come_back, host.chance(mine.seed, 5))
         self.rounds.build_of = lambda addr: self.kept.nodes[addr][0][2] if addr in self.kept.nodes else 0
         self.warm_within = facts.warm_within
         self.ops = [o.name for o in fleet.operation]
@@ -48,7 +48,7 @@
         if mine.trail:
             host.make_folder(mine.trail)
             self.rounds.trail = Trail(mine.trail, log, mine.trail_delay, patience=mine.trail_patience)
-            self.rounds.must = [o.effect == SIDE_EFFECTING for o in facts.operations]
+            self.rounds.needs_trail = [o.effect == SIDE_EFFECTING for o in facts.operations]
         streams, duty = {m.number: m.duties for m in mine.mate}, {d.name: d for d in mine.duty}
         at = streams.get(mine.me, "") if "tenants" in duty else mine.tenants
         self.tenants = (
@@ -102,7 +102,9 @@
         self.most_clients, self.listen = mine.most_clients, mine.listen
         self.sampled, self.share, self.period = {}, facts.rollout.tally_share, facts.rollout.tally_period
         self.chance = host.chance(mine.seed, 2)
-        self.rounds.observe = self.saw if self.sites else self.sample if self.period else self.rounds.observe
+        self.rounds.on_outcome = (
+            self.saw if self.sites else self.sample if self.period else self.rounds.on_outcome
+        )
 
     # ---- lists and stages on their way to the decisions ----
 
@@ -224,8 +226,8 @@
             ("tenant_view", "view of tenants in force", self.tenants.number()),
             ("tenant_view_age_ms", "since the directory confirmed it", min(1e12, self.tenants.age())),
             ("list_revision", "list held", self.kept.revision),
-            ("decision_ms", "time spent in decisions", rounds.spent),
-            ("rounds", "rounds", rounds.rounds),
+            ("decision_ms", "time spent in decisions", rounds.decision_time),
+            ("rounds", "rounds", rounds.round_count),
             ("list_not_kept", "the list held is newer than its file", self.file.behind),
             *(
                 [
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -33,7 +33,11 @@
 
 
 class Rounds:
-    """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets."""
+    """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets.
+
+    `decision_time` is the time spent in rounds so far, in ms. The functions `refusal_for`,
+    `status_for_balancer`, `withholds_vote`, `on_outcome`, `on_restart` and `build_of` may be replaced by the
+    owner."""
 
     def __init__(self, make_balancer, tick, max_held, answer_limit, pools, log, number, codec):
         """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is
@@ -43,19 +47,19 @@
         self.tick, self.max_held, self.answer_limit, self.codec = tick, max_held, answer_limit, codec
         self.pools, self.logger, self.name = pools, log, b"proxy/%d" % number
         self.mailbox, self.flights, self.last_round = host.Mailbox(4 * max_held + 4096), {}, -1e9
-        self.link, self.signals, self.last_line, self.why = None, None, "", b""
-        self.wait, self.turned_away = (
+        self.link, self.signals, self.last_line, self.refusal_reason = None, None, "", b""
+        self.retry_after, self.refusal_for = (
             0.0,
             lambda operation: None,
-        )  # turned_away: (reason, ms) for an invocation that is refused now
-        self.told_as, self.holds = (
+        )  # refusal_for: (reason, ms) for an invocation that is refused now
+        self.status_for_balancer, self.withholds_vote = (
             lambda address, status: status,
             lambda verdict, ver: False,
         )  # the status as the balancer gets it, and whether a vote is withheld
-        self.carrier, self.spent, self.rounds = Carrier(make_balancer, self), 0.0, 0
-        self.observe, self.trail, self.must = lambda *fields: None, None, ()
-        self.watch, self.slo_times, self.advice = Watch(host.now()), (), lambda operation: 0.0
-        self.close_idle, self.refill, self.build_of = pools.close_idle, lambda: None, lambda address: 0
+        self.carrier, self.decision_time, self.round_count = Carrier(make_balancer, self), 0.0, 0
+        self.on_outcome, self.trail, self.needs_trail = lambda *fields: None, None, ()
+        self.watch, self.slo_times, self.retry_advice = Watch(host.now()), (), lambda operation: 0.0
+        self.close_idle, self.on_restart, self.build_of = pools.close_idle, lambda: None, lambda address: 0
 
     held = property(lambda self: self.carrier.held)
     balancer = property(lambda self: self.carrier.balancer)
@@ -66,12 +70,12 @@
         while not self.mailbox.put(event):
             host.sleep(1)
 
-    def know(self, deployment, come_back, generator):
+    def set_retry_advice(self, deployment, come_back, generator):
         """Sets the SLO times, and the retry advice in ms for invocations that the balancer never got.
 
         `generator` spreads the advice, so that clients do not return together."""
         self.slo_times = [o.slo_time for o in deployment.operations]
-        self.advice = lambda operation: come_back(
+        self.retry_advice = lambda operation: come_back(
             deployment.retry_advice, self.slo_times[operation], generator.random()
         )
 
@@ -82,19 +86,19 @@
     def accept(self, operation, tenant, key, time_left, *content):
         """Returns the HeldInvocation of a new invocation, or None if it is refused.
 
-        `why` then holds the reason and `wait` the ms after which the client may retry."""
-        refusal = self.turned_away(operation)
+        `refusal_reason` then holds the reason and `retry_after` the ms after which the client may retry."""
+        refusal = self.refusal_for(operation)
         if refusal:
             self.watch.answered("throttled", False, tenant, operation)
         elif len(self.held) >= self.max_held or len(self.mailbox) >= self.mailbox.most - 1024:
-            refusal = b"too much is held here", self.advice(operation)
-        elif self.trail and self.must[operation] and self.trail.refuses():
+            refusal = b"too much is held here", self.retry_advice(operation)
+        elif self.trail and self.needs_trail[operation] and self.trail.refuses():
             refusal = (
                 b"it cannot be written down now",
-                self.advice(operation),
+                self.retry_advice(operation),
             )  # nothing was executed; operations that need no disk are still served
         if refusal:
-            self.why, self.wait = refusal
+            self.refusal_reason, self.retry_after = refusal
             return None
         request = Request(content, self.codec.name_of(content), tenant)
         held = self.carrier.accept(operation, tenant, key, host.now() + time_left, time_left, request)
@@ -128,10 +132,10 @@
                     flight.stop.set()
                 self.flights = {}
                 self.carrier.restart()
-                self.refill()
+                self.on_restart()
                 continue
-            self.rounds += 1
-            self.spent += host.now() - now
+            self.round_count += 1
+            self.decision_time += host.now() - now
 
     # ---- carrying out decisions ----
 
@@ -184,14 +188,14 @@
         duration = host.now() - flight.started_at
         if generation == self.carrier.generation:
             del self.flights[held.invocation_id, seq]
-            self.observe(flight.address, held.operation, status, duration)
+            self.on_outcome(flight.address, held.operation, status, duration)
             self.watch.dispatched(self.build_of(flight.address), status, status == SUCCEEDED)
             self.carrier.report_outcome(
                 held,
                 seq,
                 generation,
                 flight.address,
-                self.told_as(flight.address, status),
+                self.status_for_balancer(flight.address, status),
                 duration,
                 answer.load() if answer else {},
             )
@@ -203,7 +207,7 @@
         A dispatch that must not be executed twice is sent only once its intent is on disk. If the intent
         can't be written the dispatch is not sent: nothing was executed, so the client may be told that a
         retry is harmless."""
-        if not self.trail or not self.must[held.operation]:
+        if not self.trail or not self.needs_trail[held.operation]:
             return flight.run(pool)
         record = dict(request=held.context.name, op=held.operation, seq=seq, node=flight.address)
         try:
@@ -219,7 +223,7 @@
 
     def vote(self, stage, ver, verdict):
         """Casts a vote, unless it is withheld."""
-        if self.holds(verdict, ver):
+        if self.withholds_vote(verdict, ver):
             # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait
             # for ever here, as this greenlet is the one that empties the mailbox.
             self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
--- a/gannetfront/proxy/signals.py
+++ b/gannetfront/proxy/signals.py
@@ -19,9 +19,9 @@
     def on_peers(self, message):
         """Applies a list of peers from the controller; with `more` it adds to the known ones."""
         listed = {p.id: p.address for p in message.peers if p.id != str(self.number)}
-        self.know({**self.peers, **listed} if message.more else listed)
+        self.set_peers({**self.peers, **listed} if message.more else listed)
 
-    def know(self, peers):
+    def set_peers(self, peers):
         """Sets the peers: `peers` maps their numbers, as text, to addresses."""
         self.peers = peers
         self.numbers = {address: int(peer_id) for peer_id, address in peers.items() if peer_id.isdigit()}
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -40,7 +40,11 @@
         if fleet.site_acts:
             sites = Sites.of(fleet)
             self.shedding = Shedding(sites, self.ops, planned(sites, mine, fleet), TICK, host.now())
-            rounds.turned_away, rounds.told_as, rounds.holds = self.turned_away, self.told_as, self.holds
+            rounds.refusal_for, rounds.status_for_balancer, rounds.withholds_vote = (
+                self.turned_away,
+                self.told_as,
+                self.holds,
+            )
         self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as told last
         self.monitor = Monitor(
             list(fleet.zone), mine.zone or fleet.zone[0], facts.cold_share, facts.warm_within, self.shedding
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -376,7 +376,7 @@
         entry, _, _ = one.edge.discovery.entries["s-0"]
         one.edge.discovery.take(3, False, [(entry[:7], new.at, 1000.0 * host.wall())])
 
-    one.edge.rounds.launch, one.edge.rounds.observe = (
+    one.edge.rounds.launch, one.edge.rounds.on_outcome = (
         launched,
         lambda addr, op, status, took: seen.append(status),
     )
