--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -49,7 +49,9 @@
         try:
             if not self.budget.enter(stream):
                 self.turned_away["no descriptor"] += 1
-                soonest = min(map(self.rounds.advice, range(len(self.limits))))  # what it wants is not known
+                soonest = min(
+                    map(self.rounds.retry_advice, range(len(self.limits)))
+                )  # what it wants is not known
                 stream.send(pg.throttled(soonest, "too many connections", True), 0.0)
             elif not Session(self, stream).run():
                 return
@@ -85,7 +87,7 @@
             # Whatever ended it, nobody waits here any more: dispatches are called off, ids may come again.
             for answer in self.pending:
                 if type(answer) is tuple:
-                    self.all.rounds.leave(answer[0])
+                    self.all.rounds.abandon(answer[0])
                     self.all.ids.discard(answer[1])
 
     def converse(self):
@@ -118,17 +120,17 @@
                     left = held.deadline + OVERDUE - host.now()
                     if left <= 0:
                         # Nothing decided in time, whatever the reason: the client must hear something while it listens.
-                        self.all.log.error("answer overdue", inv=held.ident)
-                        self.all.rounds.leave(held, "terminated", True)
+                        self.all.log.error("answer overdue", inv=held.invocation_id)
+                        self.all.rounds.abandon(held, "terminated", True)
                         continue
                     next_byte = stream.peek() if self.all.draining else None
                     if self.ahead >= READ_AHEAD or next_byte:
-                        held.extra.done.wait(left)
+                        held.context.done.wait(left)
                         continue
                     if self.all.draining and next_byte is None:
-                        stream.until(host.READ, left, held.extra.done)  # for its end: nothing more is taken
+                        stream.until(host.READ, left, held.context.done)  # for its end: nothing more is taken
                         continue
-                    data = stream.recv_or(held.extra.done, 65536, left)
+                    data = stream.recv_or(held.context.done, 65536, left)
             except host.Timeout:
                 if not self.pending:
                     raise
@@ -222,11 +224,11 @@
             raise pg.BadMessage(b"23505", "an invocation with this id is open")
         self.bad = 0
         left = max(0.0, min(left, every.limits[op]) - MARGIN)
-        held = every.rounds.take(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
+        held = every.rounds.accept(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
         if held is None:
             every.turned_away["too much is open"] += 1
-            return pg.throttled(every.rounds.advice(op), "throttled: too much is open here") + pg.READY
-        held.extra.gone = self.stream.ended
+            return pg.throttled(every.rounds.retry_advice(op), "throttled: too much is open here") + pg.READY
+        held.context.gone = self.stream.ended
         every.ids.add(ident)
         self.count += 1
         return held, ident
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -46,9 +46,9 @@
             self.shedding = Shedding(
                 sites, self.operation_names, planned_work(sites, mine, fleet), TICK, host.now()
             )
-            rounds.turned_away = self.refusal
-            rounds.told_as = self.status_for_decisions
-            rounds.holds = self.withholds_vote
+            rounds.refusal_for = self.refusal
+            rounds.status_for_balancer = self.status_for_decisions
+            rounds.withholds_vote = self.withholds_vote
         self.staged = lambda: None  # (answer, stage, since, cap, status, build, phase) as last received
         self.monitor = Monitor(
             list(fleet.zone), mine.zone or fleet.zone[0], facts.cold_share, facts.warm_within, self.shedding
@@ -98,7 +98,7 @@
         for flight in list(self.rounds.flights.values()):
             # No answer is expected: what may be retried goes to another zone now, clients of the rest are
             # answered now.
-            if self.monitor.zone_of(self.entry(flight.addr)) in stopped:
+            if self.monitor.zone_of(self.entry(flight.address)) in stopped:
                 flight.stop.set()
 
     def stages(self):
@@ -135,7 +135,9 @@
 
     def probes(self):
         """Starts the probes that are due."""
-        in_flight = [(self.entry(flight.addr), flight.begun) for flight in self.rounds.flights.values()]
+        in_flight = [
+            (self.entry(flight.address), flight.started_at) for flight in self.rounds.flights.values()
+        ]
         for zone, address in self.monitor.to_probe(host.now(), self.entries(), in_flight, self.random.random):
             host.spawn(self.probe, zone, address)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -130,7 +130,7 @@
 
     host.spawn(host.serve, listener, deaf, Log())
     flight = Flight(listener.where, lambda left: b"Q" * (16 << 20), 20000.0, pg.Reply(1 << 18))
-    flown = host.spawn(flight.fly, Pool(listener.where, 4, 1000.0, 1000.0, greeted))
+    flown = host.spawn(flight.run, Pool(listener.where, 4, 1000.0, 1000.0, greeted))
     while not stuck:
         host.sleep(1)
     flight.stop.set()
@@ -376,7 +376,7 @@
         entry, _, _ = one.edge.discovery.entries["s-0"]
         one.edge.discovery.take(3, False, [(entry[:7], new.at, 1000.0 * host.wall())])
 
-    one.edge.rounds.launch, one.edge.rounds.observe = (
+    one.edge.rounds.launch, one.edge.rounds.on_outcome = (
         launched,
         lambda addr, op, status, took: seen.append(status),
     )
@@ -401,7 +401,7 @@
 def test_a_forgotten_pool_begins_nothing(rig):
     """Who holds it would put its connection where nobody closes it."""
     one = rig(PgNode())
-    pool = one.edge.pools.of("elsewhere")
+    pool = one.edge.pools.pool_for("elsewhere")
     one.edge.pools.sweep({})
     assert pool.retired
 
@@ -438,9 +438,9 @@
     client.write(select("01"))
     one.until(lambda: one.edge.rounds.held)
     (held,) = one.edge.rounds.held.values()
-    assert one.edge.rounds.carrier.end(held, i.SUCCEEDED, GOOD[:-6]) and not one.edge.rounds.carrier.end(
-        held, "terminated", False
-    )
+    assert one.edge.rounds.carrier.finish(
+        held, i.SUCCEEDED, GOOD[:-6]
+    ) and not one.edge.rounds.carrier.finish(held, "terminated", False)
     assert verdict(client.until(b"Z")) == b"value"
 
 
