--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -1,7 +1,8 @@
-"""Every decision of gannetfront: where an invocation goes, when it is given up, how a build is judged.
+"""All decisions of gannetfront: routing, retries, throttling and the verdict on a new build.
 
-One Balancer a proxy. The carrier calls `round(now, events, out)`: each event is the name of a method below
-and its fields; decisions go straight into `out`. Types and writer: interface.py.
+There is one Balancer per proxy. The carrier calls `round(now, events, out)`, where each event is the name of
+a method below followed by its fields, and receives the decisions through `out`. The types, constants and the
+writer's protocol are in interface.py. All times and durations are float milliseconds.
 """
 
 from bisect import bisect_right
@@ -31,181 +32,271 @@
     UNCONNECTED,
 )
 
-NEVER_RAN, BROKEN, WORDS = (FULL, UNCONNECTED, MOOT), (ERROR, RESET), {ON: "on", BACK: "back"}
-TOLD = SUCCEEDED, ERROR, RESET, TIMEOUT
-JUDGES = 3  # balancers that the others tell what they saw, where messages are allowed
-GROUPS = 10  # the paper's R
-LEAST = 20  # outcomes per build before any vote, by all who must agree together
-# Slow has wider ones: a good build on a few slower machines, in a burst, went back at 0.15.
-BACK_MARGIN, ON_MARGIN, SLOW_BACK, SLOW_ON = 0.03, 0.05, 0.25, 0.2
-YOUTH = 5000.0  # a younger server's times are not its build's
-LOADED = 0.25  # weight of the earlier machines beside a build that may have all
-SETTLE = 3000.0  # after the newest start, before 'on'; at the last stage after that one is warm
-MEMORY = 6000.0  # a server's own samples older than this say nothing of it now
-COUNT = 4000.0  # over which traffic and answers in time are counted
-SWEEP = 100.0
-
-
-def come_back(longest, slo_time, draw):
-    """When a throttled client is to try again: spread, lest all come at once; `longest` is what they heed."""
-    return min(longest, slo_time / 2) * (0.3 + 0.7 * draw)
-
-
-class Server:  # slots, and lists that begin empty: each of thousands of proxies holds all of a thousand
-    __slots__ = "zone build kind cell state heft launched flying load recent sent since".split()
-
-    def __init__(self, listed, unknown={}):
-        _, self.zone, self.build, self.kind, self.cell, self.state, self.heft, self.launched = listed
-        self.flying, self.load = {}, unknown  # (inv, seq) -> time sent
-        self.recent = []  # last 16 of (time, time taken, went wrong)
-        self.sent, self.since = [], self.launched  # last 200 dispatches while cold; last start
-
-    def health(self, now, usual, failing=0.0):
-        since, times, timed, bad, fresh = now - MEMORY, 0.0, 0, 0, 0
-        for at, took, wrong in self.recent:
-            if at > since:
-                fresh, bad = fresh + 1, bad + wrong
+NEVER_RAN, FAILURES, VERDICT_NAMES = (FULL, UNCONNECTED, MOOT), (ERROR, RESET), {ON: "on", BACK: "back"}
+REPORTED_STATUSES = SUCCEEDED, ERROR, RESET, TIMEOUT  # a report to the judges holds the index
+JUDGE_COUNT = 3  # balancers that collect the outcomes of all others, where signals are allowed
+JACKKNIFE_GROUPS = 10  # R in the paper
+MINIMUM_OUTCOMES = 20  # per build before any vote, summed over all balancers that must agree
+# The margins for slowness are wider: at 0.15 a good build on a few slow machines was rolled back by a burst.
+ROLLBACK_MARGIN, PROMOTE_MARGIN, SLOW_ROLLBACK_MARGIN, SLOW_PROMOTE_MARGIN = 0.03, 0.05, 0.25, 0.2
+YOUNG_SERVER_MS = 5000.0  # response times of a younger server are not attributed to its build
+EARLIER_BUILD_WEIGHT = 0.25  # weight of earlier builds' servers while the trial may take all traffic
+# From the newest server's start to a vote to promote; at the last stage, from when that server is warm.
+SETTLE_MS = 3000.0
+SAMPLE_LIFETIME_MS = 6000.0  # older samples of a server no longer describe it
+COUNTING_SPAN_MS = 4000.0  # over which arrivals and timely answers are counted
+SWEEP_PERIOD_MS = 100.0
+
+
+def come_back(longest, slo_time, random):
+    """Retry delay in ms for a throttled client, randomised so that clients do not retry at the same time.
+
+    `longest` is the longest delay that clients honour; `random` is uniform in [0, 1).
+    """
+    return min(longest, slo_time / 2) * (0.3 + 0.7 * random)
+
+
+class Server:
+    """One listed server as this balancer sees it.
+
+    Uses slots and lists that start empty, because thousands of proxies each hold a thousand servers.
+    """
+
+    __slots__ = "zone build kind cell state weight started_at flying load recent sent since".split()
+
+    def __init__(self, entry, no_load={}):
+        _, self.zone, self.build, self.kind, self.cell, self.state, self.weight, self.started_at = entry
+        self.flying, self.load = {}, no_load  # (invocation id, sequence number) -> time sent
+        self.recent = []  # last 16 of (time, time taken or None, failed)
+        self.sent, self.since = [], self.started_at  # times of the last 200 dispatches while cold; last start
+
+    def health(self, now, typical_time, failure_rate=0.0):
+        """Returns (expected time taken in ms, expected failure rate), smoothed by two typical outcomes."""
+        oldest, times, timed, failures, outcomes = now - SAMPLE_LIFETIME_MS, 0.0, 0, 0, 0
+        for at, took, failed in self.recent:
+            if at > oldest:
+                outcomes, failures = outcomes + 1, failures + failed
                 if took:
                     times, timed = times + took, timed + 1
-        for sent in self.flying.values():  # oldest first
-            if now - sent <= 2 * usual:
+        for sent_at in self.flying.values():  # oldest first
+            if now - sent_at <= 2 * typical_time:
                 break
-            times, timed = times + now - sent, timed + 1
-        return (2 * usual + times) / (2 + timed), (2 * failing + bad) / (2 + fresh)
+            times, timed = times + now - sent_at, timed + 1
+        return (2 * typical_time + times) / (2 + timed), (2 * failure_rate + failures) / (2 + outcomes)
 
 
-class Pool:  # ready servers, of earlier builds or on trial, weighed once: a draw is a search
-    def __init__(self, picks, weigh, zone):
-        home = [p for p in picks if p[1].zone == zone]
-        self.picks, self.draws = (
+class Pool:
+    """Ready servers of released builds or on trial, with cumulative weights for sampling by bisection."""
+
+    def __init__(self, picks, weigh, home_zone):
+        home = [candidate for candidate in picks if candidate[1].zone == home_zone]
+        self.picks, self.samples = (
             picks,
             [
-                (some, list(accumulate(weigh(some))))
-                for some in (picks, home if len(home) < len(picks) else [])
-                if some
+                (subset, list(accumulate(weigh(subset))))
+                for subset in (picks, home if len(home) < len(picks) else [])
+                if subset
             ],
         )
-        self.size = self.draws[0][1][-1] if picks else 0.0
-        self.part = self.draws[1][1][-1] / self.size if len(self.draws) > 1 else 1.0  # that is at home
+        self.total_weight = self.samples[0][1][-1] if picks else 0.0
+        # Share of the weight that is in the home zone.
+        self.home_share = self.samples[1][1][-1] / self.total_weight if len(self.samples) > 1 else 1.0
+
 
+class Window:
+    """Items of the last `span` ms, at most `maximum` of them.
 
-class Window:  # what came within a span, counted as it comes and goes: a dispatch must not cost a recount
-    def __init__(self, span, most=None):
-        self.span, self.most, self.kept, self.counts = span, most, deque(), Counter()
+    Counts are kept up to date as items enter and leave, so that a dispatch does not cost a recount.
+    """
 
-    def add(self, now, what):
-        if len(self.kept) == self.most:
+    def __init__(self, span, maximum=None):
+        self.span, self.maximum, self.kept, self.counts = span, maximum, deque(), Counter()
+
+    def add(self, now, item):
+        if len(self.kept) == self.maximum:
             self.counts[self.kept.popleft()[1]] -= 1
-        self.kept.append((now, what))
-        self.counts[what] += 1
+        self.kept.append((now, item))
+        self.counts[item] += 1
 
     def trim(self, now):
+        """Removes the items that are older than the span; returns the window."""
         while self.kept and self.kept[0][0] <= now - self.span:
             self.counts[self.kept.popleft()[1]] -= 1
         return self
 
-    def forget(self, at, what):
-        if (at, what) in self.kept:
-            self.kept.remove((at, what))
-            self.counts[what] -= 1
+    def remove(self, at, item):
+        if (at, item) in self.kept:
+            self.kept.remove((at, item))
+            self.counts[item] -= 1
 
 
 class Invocation:
-    def __init__(self, op, tenant, key, taken, deadline):
-        self.op, self.tenant, self.key, self.taken, self.deadline = op, tenant, key, taken, deadline
+    """An invocation that has not been answered yet. `op` is the operation's index."""
+
+    def __init__(self, op, tenant, key, accepted_at, deadline):
+        self.op, self.tenant, self.key, self.accepted_at, self.deadline = (
+            op,
+            tenant,
+            key,
+            accepted_at,
+            deadline,
+        )
         self.tries = []  # [server id, zone, cell, time sent, status or None, build]
 
 
 class Balancer:
-    def __init__(self, seed, site):
+    """Decides for one proxy. Deterministic for a given seed, deployment and sequence of rounds."""
+
+    def __init__(self, seed, deployment):
         self.chance_state = seed & (2**64 - 1)
-        r, self.ops, self.zone, self.tick = site.rollout, site.operations, site.zone, site.tick
-        self.tenants, self.over_value = site.tenants, site.over_share_value
-        self.may_cancel, self.may_duplicate, self.subscribe, self.retry_advice = (
-            site.may_cancel,
-            site.may_duplicate,
-            site.must_subscribe,
-            site.retry_advice,
-        )
-        self.cross_price, self.cold_share, self.warm_within, self.overload_for, self.dispatch_cap = (
-            site.cross_zone_price,
-            site.cold_share,
-            site.warm_within,
-            site.overload_for,
-            site.dispatch_cap,
-        )
-        # Half of what it stands, but not less than the fair part of its ramp, which cold_room() grants.
-        self.home, self.stand = self.zone if self.cross_price else None, max(1.0, site.fall_multiple / 2)
-        # Dispatches are counted over slightly more than the exposure window, intake over slightly less.
-        self.made_for, self.taken = r.window + 2 * site.tick, Window(r.window - 2 * site.tick)
-        self.free, self.first_cap, self.guarded = r.free, r.caps[0], r.guarded
-        self.by_operation, self.no_return = r.by_operation, r.no_return
-        self.renew_after, self.answer_wait = 0.6 * r.vote_life, r.answer_wait + 50
-        # Alpha is shared so that the false 'back' votes it takes come together one time in twenty (the lower
-        # end of a Poisson's rate). The interval has tau = z2 * V: a factor times the square root of V.
-        ops, ons, backs = len(self.ops), max(1, r.on_votes), max(1, r.back_votes)
-        false = max(0.05, backs * (1 - 1 / (9 * backs) - 1.645 / (3 * sqrt(backs))) ** 3)
-        alphas = [a / ops for a in (false / site.balancers, 0.05)]
-        z2s = [NormalDist().inv_cdf(1 - a / 2) ** 2 for a in alphas]
-        self.own_width, self.all_width = (
-            sqrt((1 + z2) / z2 * (-2 * log(a) + log(1 + z2))) for a, z2 in zip(alphas, z2s)
-        )
-        # The least sample grows with the share of machines that an 'on' would hand over; of tallies, which
-        # are few and late, with the share of traffic that the present stage gets.
-        shares = *r.machine_shares[1:], 1.0
-        self.need = (
-            [2 * LEAST * share / ons for share in shares],
-            [2 * LEAST * share / (1 + share) / ons for share in r.machine_shares],
-        )
-        self.spare = [1 - share for share in shares]
-        self.judging, self.untold, self.told_at = site.may_signal and site.me < JUDGES, b"", 0.0
-        self.least, self.many_backs = LEAST / backs, backs > 1
-        self.votes_on = r.on_votes > 0 and not r.timed and self.judging >= site.may_signal
-        self.quiet_after = SETTLE * (1 + 4 / ons) if ons > 1 else 1e18
-        self.much = LEAST * site.balancers / 2  # of one among many, whose own bad luck proves nothing
-        # Where one of hundreds is enough, few cast 'on': a flood would crowd out the 'back' that counts.
-        self.vote_chance = 1.0 if self.judging else min(1.0, 5 * ons / site.balancers)
-        self.tell = [str(j) for j in range(min(JUDGES, site.balancers)) if site.may_signal and j != site.me]
-        self.slo_mean = sum(o.slo_time for o in self.ops) / ops
-        # As many as would push a cold server of one slot over by sending it one dispatch each.
-        self.many = site.balancers * 0.15 * self.slo_mean > self.stand * self.cold_share * self.overload_for
+        rollout, self.ops, self.zone, self.tick = (
+            deployment.rollout,
+            deployment.operations,
+            deployment.zone,
+            deployment.tick,
+        )
+        self.tenants, self.over_share_value = deployment.tenants, deployment.over_share_value
+        self.may_cancel, self.may_duplicate, self.must_subscribe, self.retry_advice = (
+            deployment.may_cancel,
+            deployment.may_duplicate,
+            deployment.must_subscribe,
+            deployment.retry_advice,
+        )
+        self.cross_zone_price, self.cold_share, self.warm_within, self.overload_for, self.dispatch_cap = (
+            deployment.cross_zone_price,
+            deployment.cold_share,
+            deployment.warm_within,
+            deployment.overload_for,
+            deployment.dispatch_cap,
+        )
+        # A cold server is planned for half of the load at which it fails, but for no less than the fair share
+        # of its ramp, which cold_room() grants.
+        self.home_zone, self.cold_load_factor = (
+            self.zone if self.cross_zone_price else None,
+            max(1.0, deployment.fall_multiple / 2),
+        )
+        # Dispatches are counted over slightly more than the exposure window, accepted invocations over
+        # slightly less, which errs on the side of fewer dispatches.
+        self.exposure_span, self.accepted = (
+            rollout.window + 2 * deployment.tick,
+            Window(rollout.window - 2 * deployment.tick),
+        )
+        self.free_dispatches, self.first_cap, self.guarded_stages = (
+            rollout.free,
+            rollout.caps[0],
+            rollout.guarded,
+        )
+        self.by_operation, self.no_return = rollout.by_operation, rollout.no_return
+        self.renew_vote_after, self.answer_wait = 0.6 * rollout.vote_life, rollout.answer_wait + 50
+        # Alpha is shared so that enough false roll-back votes come together one time in twenty (the lower end
+        # of the interval of a Poisson rate). The mSPRT interval has tau = z2 * V: a factor times the square
+        # root of V.
+        operation_count, promote_votes, rollback_votes = (
+            len(self.ops),
+            max(1, rollout.on_votes),
+            max(1, rollout.back_votes),
+        )
+        false_votes = max(
+            0.05, rollback_votes * (1 - 1 / (9 * rollback_votes) - 1.645 / (3 * sqrt(rollback_votes))) ** 3
+        )
+        alphas = [alpha / operation_count for alpha in (false_votes / deployment.balancers, 0.05)]
+        z2s = [NormalDist().inv_cdf(1 - alpha / 2) ** 2 for alpha in alphas]
+        self.own_width, self.pooled_width = (
+            sqrt((1 + z2) / z2 * (-2 * log(alpha) + log(1 + z2))) for alpha, z2 in zip(alphas, z2s)
+        )
+        # The minimum sample grows with the share of machines that a promotion would hand over. Tallies are
+        # few and late, so for them it grows with the share of traffic that the present stage gets.
+        shares = *rollout.machine_shares[1:], 1.0
+        self.required_outcomes = (
+            [2 * MINIMUM_OUTCOMES * share / promote_votes for share in shares],
+            [2 * MINIMUM_OUTCOMES * share / (1 + share) / promote_votes for share in rollout.machine_shares],
+        )
+        # Share of machines that earlier builds keep after a promotion, by stage.
+        self.remaining_shares = [1 - share for share in shares]
+        self.is_judge, self.unsent_reports, self.next_report_at = (
+            deployment.may_signal and deployment.me < JUDGE_COUNT,
+            b"",
+            0.0,
+        )
+        self.minimum_outcomes, self.several_rollback_votes = (
+            MINIMUM_OUTCOMES / rollback_votes,
+            rollback_votes > 1,
+        )
+        self.votes_to_promote = (
+            rollout.on_votes > 0 and not rollout.timed and self.is_judge >= deployment.may_signal
+        )
+        self.quiet_time = SETTLE_MS * (1 + 4 / promote_votes) if promote_votes > 1 else 1e18
+        # A single balancer among many that had a run of bad luck proves nothing: it needs more answers.
+        self.collapse_minimum = MINIMUM_OUTCOMES * deployment.balancers / 2
+        # Where one vote of hundreds is enough, few balancers vote to promote: a flood of such votes would
+        # crowd out the roll-back vote that counts.
+        self.promote_probability = (
+            1.0 if self.is_judge else min(1.0, 5 * promote_votes / deployment.balancers)
+        )
+        self.other_judges = [
+            str(judge)
+            for judge in range(min(JUDGE_COUNT, deployment.balancers))
+            if deployment.may_signal and judge != deployment.me
+        ]
+        self.mean_slo_time = sum(operation.slo_time for operation in self.ops) / operation_count
+        # So many that a cold server with one slot would be overloaded by a single dispatch from each.
+        self.many_balancers = (
+            deployment.balancers * 0.15 * self.mean_slo_time
+            > self.cold_load_factor * self.cold_share * self.overload_for
+        )
         self.servers, self.invs, self.pools = {}, {}, (Pool([], None, 0),) * 2
-        self.ver, self.stage, self.cap, self.phase, self.told = None, 0, 0.0, None, False
-        # build -> operations dispatched there, as those taken; key -> build that answered it
-        self.at_trial, self.answered = {}, {}
-        self.arrivals, self.answers, self.good = Window(COUNT, 1000), deque(maxlen=1000), deque(maxlen=1000)
-        self.times, self.typical, self.zones = deque(maxlen=64), None, {}
-        self.means = [deque(maxlen=6) for _ in self.ops]  # (time, mean time taken) by operation
-        self.seen, self.tallied = {}, {}  # (build, operation) -> deque of (time, group, status, time taken)
-        self.proof, self.proof_due, self.voted = None, False, None
-        self.started = {}  # build -> start of its newest ready server
-        self.weigh_at, self.woken, self.cut_at = 0.0, -1.0, -1e9
-        self.sweep_at = self.eased_at = self.vote_at = self.vote_due = self.staged_at = 0.0
-        self.rate = self.good_before = self.released_at = 0.0
-        self.heft, self.trial_share, self.earliest, self.limit, self.room = 0.0, 0.0, 0, 1e9, 1.0
-        self.zone_count, self.loaded = 1, False
+        self.ver, self.stage, self.cap, self.phase, self.stage_known = None, 0, 0.0, None, False
+        # build -> operations dispatched to it, a Window like `accepted`; key -> newest build that answered it
+        self.at_trial, self.answered_by = {}, {}
+        # answers: (time sent, time taken / SLO time); timely: times of the answers within the SLO time
+        self.arrivals, self.answers, self.timely = (
+            Window(COUNTING_SPAN_MS, 1000),
+            deque(maxlen=1000),
+            deque(maxlen=1000),
+        )
+        # outcomes: (time, time taken or None, zone, failed); zone_health: zone -> (mean time, failure rate)
+        self.outcomes, self.typical_time, self.zone_health = deque(maxlen=64), None, {}
+        self.times_taken = [deque(maxlen=6) for _ in self.ops]  # (time, mean time taken) by operation
+        # Own outcomes and the platform's: (build, operation) -> deque of (time, group, status, time taken)
+        self.observed, self.tallied = {}, {}
+        self.proof, self.proof_stale, self.last_vote = None, False, None
+        self.newest_start = {}  # build -> start of its newest ready server
+        self.pools_due, self.wake_at, self.limit_cut_at = 0.0, -1.0, -1e9
+        self.next_sweep_at = self.last_pressure_at = self.voted_at = self.vote_due = self.stage_began_at = 0.0
+        self.arrival_rate = self.timely_before_release = self.released_at = 0.0
+        self.ready_weight, self.trial_share, self.earliest_build, self.limit, self.usable_share = (
+            0.0,
+            0.0,
+            0,
+            1e9,
+            1.0,
+        )
+        self.zone_count, self.trial_loaded = 1, False
 
     def round(self, now, events, out):
+        """Processes the events of one round and writes the decisions to `out`."""
         self.now, self.out = now, out
         for name, *fields in events:
             getattr(self, name)(*fields)
-        if now >= self.sweep_at:
+        if now >= self.next_sweep_at:
             self.sweep()
-            self.sweep_at = now + SWEEP
-        # One proxy of hundreds is mostly idle: it wakes for what is open or for a vote that is due.
-        wake = self.sweep_at if self.invs else max(self.sweep_at, self.vote_due)
-        if (self.invs or self.seen) and not now < self.woken <= wake:
-            self.woken = wake
+            self.next_sweep_at = now + SWEEP_PERIOD_MS
+        # One proxy of hundreds is mostly idle: it wakes only for open invocations or for a vote that is due.
+        wake = self.next_sweep_at if self.invs else max(self.next_sweep_at, self.vote_due)
+        if (self.invs or self.observed) and not now < self.wake_at <= wake:
+            self.wake_at = wake
             out.timer(wake, "sweep")
 
-    def chance(self):
+    def random(self):
+        """A uniform number in [0, 1) from a linear congruential generator."""
         self.chance_state = (self.chance_state * 6364136223846793005 + 1442695040888963407) % 2**64
         return (self.chance_state >> 33) / 2**31
 
-    # ---- what is told ----
+    # ---- events from the platform and from other balancers ----
 
     def listed(self, kind, entries):
-        if kind in ("failed", "kept") and self.subscribe:
+        """The server list: a full list, changes to it, the cached list ("kept") or a failed subscription."""
+        if kind in ("failed", "kept") and self.must_subscribe:
             self.out.subscribe(True)
         if kind == "failed":
             return
@@ -214,533 +305,802 @@
             self.servers[entry[0]] = new
             if old:
                 new.flying = old.flying
-                if (old.build, old.launched) == (new.build, new.launched):
+                if (old.build, old.started_at) == (new.build, new.started_at):
                     new.recent, new.sent, new.load, new.since = old.recent, old.sent, old.load, old.since
             if new.state == READY:
-                self.started[new.build] = max(self.started.get(new.build, new.launched), new.launched)
+                self.newest_start[new.build] = max(
+                    self.newest_start.get(new.build, new.started_at), new.started_at
+                )
         if kind != "changes":
-            for addr in self.servers.keys() - {entry[0] for entry in entries}:
-                self.servers[addr].state = GONE  # a full list that leaves a server out has told of its end
-        self.weigh_at = 0.0  # when first needed: most news reach proxies that have nothing to send
+            for address in self.servers.keys() - {entry[0] for entry in entries}:
+                self.servers[address].state = GONE  # a full list omits only servers that have ended
+        # Rebuilt when first needed: most updates reach proxies that have nothing to send.
+        self.pools_due = 0.0
 
-    def stage_told(self, answer, stage, since, cap, status, ver, phase):
+    def stage_told(self, answer, stage, since, cap, status, version, phase):
+        """The rollout's stage, either announced or as the answer to a vote of this balancer."""
         if answer and status != SUCCEEDED:
-            # moot: the news that explains it is on its way; full, error, timeout: ask again soon, not in step
-            self.voted, self.vote_due = None, self.now + 150 + 300 * self.chance()
+            # After moot the update that explains it is on its way; after full, error or timeout the vote is
+            # repeated soon, at random so that the balancers are not in step.
+            self.last_vote, self.vote_due = None, self.now + 150 + 300 * self.random()
             return
-        if answer and self.voted:
-            self.vote_due = max(self.vote_due, self.vote_at + self.renew_after)
-        if (phase, self.phase, ver) == (RELEASED, TRIAL, self.ver):
-            self.released_at, self.good_before = self.now, sum(1 for t in self.good if t > self.now - COUNT)
-        if (ver, stage, phase) != (self.ver, self.stage, self.phase):
-            self.vote_due = self.staged_at = self.now
-        if ver != self.ver:
-            # The last two builds are what this one is judged against: numbers may jump, a long day has more.
-            last = sorted({b for b, _ in (*self.seen, *self.tallied) if b < ver})[-2:]
-            self.untold, (self.seen, self.tallied) = (
+        if answer and self.last_vote:
+            self.vote_due = max(self.vote_due, self.voted_at + self.renew_vote_after)
+        if (phase, self.phase, version) == (RELEASED, TRIAL, self.ver):
+            self.released_at, self.timely_before_release = (
+                self.now,
+                sum(1 for at in self.timely if at > self.now - COUNTING_SPAN_MS),
+            )
+        if (version, stage, phase) != (self.ver, self.stage, self.phase):
+            self.vote_due = self.stage_began_at = self.now
+        if version != self.ver:
+            # A build is judged against the last two earlier ones. Build numbers may have gaps, and a long day
+            # has more builds than need to be held.
+            last = sorted({build for build, _ in (*self.observed, *self.tallied) if build < version})[-2:]
+            self.unsent_reports, (self.observed, self.tallied) = (
                 b"",
                 (
-                    {k: v for k, v in some.items() if k[0] >= ver or k[0] in last}
-                    for some in (self.seen, self.tallied)
+                    {key: outcomes for key, outcomes in source.items() if key[0] >= version or key[0] in last}
+                    for source in (self.observed, self.tallied)
                 ),
             )
-        self.ver, self.stage, self.cap, self.phase, self.told = ver, stage, cap, phase, True
-        self.weigh_at = 0.0
+        self.ver, self.stage, self.cap, self.phase, self.stage_known = version, stage, cap, phase, True
+        self.pools_due = 0.0
 
     def tenants_listed(self, tenants):
-        """Portions by number, as the directory has them now; a number stays with its tenant or group."""
+        """The directory's present portions by tenant number; a number stays with its tenant or group."""
         self.tenants = tenants
 
     begun = timer = probed = lambda self, *fields: None
 
-    def tally(self, attempts, since, bad, took, op, build):
-        """The same sample at all balancers, a group a period; a mean time stands for exponential ones."""
+    def tally(self, attempts, since, bad, took, operation, build):
+        """A sample from the platform, the same at all balancers: one jackknife group per period.
+
+        `took` is a mean time; it stands for exponentially distributed times.
+        """
         end = self.now - since
-        young = self.on_trial(build) and end - self.started.get(build, -1e9) < YOUTH
+        young = self.on_trial(build) and end - self.newest_start.get(build, -1e9) < YOUNG_SERVER_MS
         if attempts > bad:
-            self.means[op].append((self.now, took))
-        unit = (end, int(end / 1000) % GROUPS)
-        self.tallied.setdefault((build, op), deque(maxlen=400)).extend(
+            self.times_taken[operation].append((self.now, took))
+        unit = (end, int(end / 1000) % JACKKNIFE_GROUPS)
+        self.tallied.setdefault((build, operation), deque(maxlen=400)).extend(
             [(*unit, ERROR, None)] * bad + [(*unit, None, None if young else took)] * (attempts - bad)
         )
-        self.proof_due = self.proof_due or build == self.ver
+        self.proof_stale = self.proof_stale or build == self.ver
 
     def peer(self, sender, payload):
-        ver, size = int.from_bytes(payload[:2], "big"), len(payload)
-        for what, op, took in zip(payload[2:size:3], payload[3:size:3], payload[4:size:3]):
-            self.keep(ver - 1 + (what & 1), op, what >> 4, TOLD[what >> 1 & 3], 2 ** (took / 16) * (took > 0))
+        """Outcomes that another balancer reported to this judge, three bytes each; see record_outcome()."""
+        version, size = int.from_bytes(payload[:2], "big"), len(payload)
+        for flags, operation, took in zip(payload[2:size:3], payload[3:size:3], payload[4:size:3]):
+            self.store_outcome(
+                version - 1 + (flags & 1),
+                operation,
+                flags >> 4,
+                REPORTED_STATUSES[flags >> 1 & 3],
+                2 ** (took / 16) * (took > 0),
+            )
 
-    def contested(self, since, op, addr):
-        if addr in self.servers:  # a wrong answer that looked like any other
-            self.note(addr, self.servers[addr], op, self.now, ERROR, None)
+    def contested(self, since, operation, address):
+        """An answer that had looked like a success turned out to be wrong."""
+        if address in self.servers:
+            self.record_outcome(address, self.servers[address], operation, self.now, ERROR, None)
 
-    # ---- routing: proposals only ----
+    # ---- routing: these methods only propose dispatches ----
 
     def on_trial(self, build):
-        newest = self.told and build == self.ver and self.phase != RELEASED
-        return newest or build > (self.ver if self.told else self.earliest)
+        """Whether a build is not yet released; before the first stage is known, any but the earliest."""
+        newest = self.stage_known and build == self.ver and self.phase != RELEASED
+        return newest or build > (self.ver if self.stage_known else self.earliest_build)
 
     def cold(self, server):
+        """Whether the server started less than the warm-up time ago."""
         return server.since and self.now - server.since < self.warm_within
 
-    def ramp(self, server):
+    def warm_fraction(self, server):
+        """The fraction of its full load that a server takes: grows linearly from the cold share to 1."""
         age = self.now - server.since if server.since else self.warm_within
         return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, age) / max(1.0, self.warm_within))
 
-    def sort_pools(self):
-        if self.now < self.weigh_at:
+    def update_pools(self):
+        """Rebuilds the two pools and the figures derived from them, if the servers or weights changed."""
+        if self.now < self.pools_due:
             return
-        self.earliest = min((s.build for s in self.servers.values()), default=0)
-        ready = [p for p in self.servers.items() if p[1].state == READY]
-        trial = {build: self.on_trial(build) for build in {s.build for _, s in ready}}
+        self.earliest_build = min((server.build for server in self.servers.values()), default=0)
+        ready = [candidate for candidate in self.servers.items() if candidate[1].state == READY]
+        trial = {build: self.on_trial(build) for build in {server.build for _, server in ready}}
         self.pools = old, new = [
-            Pool([p for p in ready if trial[p[1].build] == part], self.weigh, self.home)
+            Pool(
+                [candidate for candidate in ready if trial[candidate[1].build] == part],
+                self.weights,
+                self.home_zone,
+            )
             for part in (False, True)
         ]
-        self.heft, self.zone_count = sum(s.heft for _, s in ready) or 1.0, len({s.zone for _, s in ready})
-        # At the last stage, where it may have all, a build gets most before its release: one that fails only
-        # when loaded would else show it once nothing is left to go to.
-        self.loaded = self.phase == TRIAL and self.cap >= 1 and self.stage >= len(self.spare) - 1
-        spared = LOADED if self.loaded else 1.0
-        # Its warm servers alone, each with no more than once all of it is up: the cold keep to their ramp.
-        warm, size = sum(s.heft for _, s in new.picks if not self.cold(s)), old.size + new.size or 1.0
-        more = min(size / (spared * old.size + new.size or 1.0), 2 / (1 + spared)) - 1
-        self.trial_share = (new.size + more * warm) / size
-        # Where most of what may be used is cold, what all ask for is too much for it: only such a part goes
-        # there as would were all that is ready warm, times half of what a cold server stands. Against
-        # hundreds of proxies none of which sends it more than one.
-        self.room = self.stand * (old.size + (new.size if self.cap > 0 else 0.0)) / self.heft
-        self.weigh_at = self.now + 4 * SWEEP if any(self.cold(s) for _, s in ready) else 1e18
-
-    def weigh(self, some):
-        return [s.heft * (self.ramp(s) if s.since else 1.0) for _, s in some]
-
-    def loss(self, server, op):
-        """Expected share of worth lost there: failing, late, crossing at half price, as it relieves home."""
-        usual = self.typical or 0.15 * op.slo_time
-        pace, fail = server.health(self.now, *self.zones.get(server.zone, (usual, 0.0)))
-        pace += usual * (0.4 * len(server.flying) + 0.33 * server.load.get("queue", 0.0))
-        late = exp(-op.slo_time / pace)
-        crossing = 0.5 * self.cross_price * (server.zone != self.zone)
-        return fail + (1 - fail) * late + 0.05 * pace / op.slo_time + crossing
-
-    def stuck(self, op):
-        """One operation waits at every server, in the places of the others, which do not: all but a trickle
-        is throttled. It hurts an operation that really takes so much longer than the rest. By the middle of
-        the last few: a mean would take one dispatch that fell silent for all servers."""
-        took = [sorted(t for at, t in means if at > self.now - 2 * MEMORY) for means in self.means]
-        usual = [x[len(x) // 2] if len(x) > 2 else 1e18 for x in took]
-        return 1e18 > usual[op] > min(usual) + 0.6 * self.ops[op].slo_time
-
-    def choose(self, pool, op, inv):
-        """Two random choices by size, two more from home where crossing is priced; all if none will do, but
-        for a cold one: as yet without a fault, it would be the best of all for hundreds at once."""
-        fits = lambda p: all(p[0] != t[0] for t in inv.tries) and self.admits(inv, p[1])
-        at = lambda steps: min(bisect_right(steps, self.chance() * steps[-1]), len(steps) - 1)
-        draw = lambda draws: [some[at(steps)] for some, steps in draws for _ in (0, 1)]
-        picks, room = [p for p in draw(pool.draws) if fits(p)], self.room
-        if not picks:
-            rest = Pool([p for p in pool.picks if fits(p)], self.weigh, self.home)
-            picks, room = rest.picks, min(room, self.stand * rest.size / self.heft)
-            if picks and self.cold(min(picks, key=lambda p: self.loss(p[1], op))[1]):
-                picks = draw(rest.draws)
+        self.ready_weight, self.zone_count = (
+            sum(server.weight for _, server in ready) or 1.0,
+            len({server.zone for _, server in ready}),
+        )
+        # At the last stage, where the build may take all traffic, it gets most of it before its release: a
+        # build that fails only under load would otherwise show it when no earlier servers are left.
+        self.trial_loaded = (
+            self.phase == TRIAL and self.cap >= 1 and self.stage >= len(self.remaining_shares) - 1
+        )
+        old_factor = EARLIER_BUILD_WEIGHT if self.trial_loaded else 1.0
+        # Only warm trial servers take the extra load, each no more than it will once all of the build runs;
+        # cold servers keep to their ramp.
+        warm, total = (
+            sum(server.weight for _, server in new.picks if not self.cold(server)),
+            old.total_weight + new.total_weight or 1.0,
+        )
+        extra = (
+            min(total / (old_factor * old.total_weight + new.total_weight or 1.0), 2 / (1 + old_factor)) - 1
+        )
+        self.trial_share = (new.total_weight + extra * warm) / total
+        # Where most usable servers are cold, they cannot take the whole demand. They get the part that would
+        # go to them if all ready servers were warm, times the load factor of a cold server. This also bounds
+        # hundreds of proxies that send one dispatch each.
+        self.usable_share = (
+            self.cold_load_factor
+            * (old.total_weight + (new.total_weight if self.cap > 0 else 0.0))
+            / self.ready_weight
+        )
+        self.pools_due = (
+            self.now + 4 * SWEEP_PERIOD_MS if any(self.cold(server) for _, server in ready) else 1e18
+        )
+
+    def weights(self, candidates):
+        return [
+            server.weight * (self.warm_fraction(server) if server.since else 1.0) for _, server in candidates
+        ]
+
+    def expected_loss(self, server, operation):
+        """Expected share of an answer's value lost at a server: by failure, lateness and crossing zones.
+
+        Crossing counts at half its price, because it takes load off the home zone.
+        """
+        typical = self.typical_time or 0.15 * operation.slo_time
+        pace, failure_rate = server.health(self.now, *self.zone_health.get(server.zone, (typical, 0.0)))
+        pace += typical * (0.4 * len(server.flying) + 0.33 * server.load.get("queue", 0.0))
+        late = exp(-operation.slo_time / pace)
+        crossing = 0.5 * self.cross_zone_price * (server.zone != self.zone)
+        return failure_rate + (1 - failure_rate) * late + 0.05 * pace / operation.slo_time + crossing
+
+    def is_stuck(self, operation):
+        """Whether one operation waits at every server, occupying the slots of the others, which do not wait.
+
+        All but a trickle of it is then throttled. This also affects an operation that really takes so much
+        longer than the rest. The median of the last few times is used: a mean would take a single unanswered
+        dispatch for a fault of all servers.
+        """
+        times = [
+            sorted(took for at, took in samples if at > self.now - 2 * SAMPLE_LIFETIME_MS)
+            for samples in self.times_taken
+        ]
+        medians = [x[len(x) // 2] if len(x) > 2 else 1e18 for x in times]
+        return 1e18 > medians[operation] > min(medians) + 0.6 * self.ops[operation].slo_time
+
+    def choose(self, pool, operation, invocation):
+        """Returns the best of two servers sampled by weight, or None.
+
+        Where crossing zones is priced, two more are sampled from the home zone. If none of them is allowed,
+        all allowed servers of the pool are compared. Should the best of those be cold, the choice is among
+        samples again: without a failure so far, it would be the best for hundreds of balancers at once.
+        """
+        is_allowed = lambda candidate: (
+            all(candidate[0] != tried[0] for tried in invocation.tries)
+            and self.admits(invocation, candidate[1])
+        )
+        index = lambda steps: min(bisect_right(steps, self.random() * steps[-1]), len(steps) - 1)
+        sample = lambda samples: [subset[index(steps)] for subset, steps in samples for _ in (0, 1)]
+        candidates, usable_share = (
+            [candidate for candidate in sample(pool.samples) if is_allowed(candidate)],
+            self.usable_share,
+        )
+        if not candidates:
+            rest = Pool(
+                [candidate for candidate in pool.picks if is_allowed(candidate)], self.weights, self.home_zone
+            )
+            candidates, usable_share = (
+                rest.picks,
+                min(usable_share, self.cold_load_factor * rest.total_weight / self.ready_weight),
+            )
+            if candidates and self.cold(
+                min(candidates, key=lambda candidate: self.expected_loss(candidate[1], operation))[1]
+            ):
+                candidates = sample(rest.samples)
             pool = rest
-        # Those of a zone that has just come back meet all that is asked for at home before the others are up.
-        room *= min(1.0, pool.part * self.zone_count)
-        if self.many and room < 1 and any(self.cold(s) for _, s in picks) and self.chance() > room:
-            warm = lambda some: [p for p in some if not self.cold(p[1])]
-            rest = () if warm(picks) else [p for p in warm(pool.picks) if fits(p)]
-            picks = warm(picks) or draw(Pool(rest, self.weigh, self.home).draws)
-        return min(picks, key=lambda p: self.loss(p[1], op)) if picks else None
-
-    def invocation(self, ident, key, op, tenant, left):
-        self.sort_pools()
-        inv = self.invs[ident] = Invocation(op, tenant, key, self.now, self.now + left)
-        self.taken.add(self.now, op)
-        self.arrivals.add(self.now, (op, tenant))
-        # A tenth of an operation that is held off goes on, to see when it is well again.
-        held_off = self.crowded(inv) or self.stuck(op) and self.chance() > 0.1
-        if held_off or not self.propose(ident, inv, self.chance() < self.trial_share):
-            self.give_up(ident, inv)
-
-    def propose(self, ident, inv, trial):
-        for pool in (self.pools[::-1] if trial else self.pools) if self.may_go(inv) else ():
-            pick = self.choose(pool, self.ops[inv.op], inv)
+        # The first servers of a zone that has just returned would get all of the home zone's demand before
+        # the other servers there are up.
+        usable_share *= min(1.0, pool.home_share * self.zone_count)
+        if (
+            self.many_balancers
+            and usable_share < 1
+            and any(self.cold(server) for _, server in candidates)
+            and self.random() > usable_share
+        ):
+            warm = lambda some: [candidate for candidate in some if not self.cold(candidate[1])]
+            rest = (
+                ()
+                if warm(candidates)
+                else [candidate for candidate in warm(pool.picks) if is_allowed(candidate)]
+            )
+            candidates = warm(candidates) or sample(Pool(rest, self.weights, self.home_zone).samples)
+        return (
+            min(candidates, key=lambda candidate: self.expected_loss(candidate[1], operation))
+            if candidates
+            else None
+        )
+
+    def invocation(self, invocation_id, key, operation, tenant, time_left):
+        """A new invocation, to be dispatched or refused at once."""
+        self.update_pools()
+        invocation = self.invs[invocation_id] = Invocation(
+            operation, tenant, key, self.now, self.now + time_left
+        )
+        self.accepted.add(self.now, operation)
+        self.arrivals.add(self.now, (operation, tenant))
+        # A tenth of a throttled operation is still sent, to detect its recovery.
+        refused = self.crowded(invocation) or self.is_stuck(operation) and self.random() > 0.1
+        if refused or not self.propose(invocation_id, invocation, self.random() < self.trial_share):
+            self.give_up(invocation_id, invocation)
+
+    def propose(self, invocation_id, invocation, trial):
+        """Dispatches to a server of the preferred pool or else of the other one; returns whether it did."""
+        for pool in (self.pools[::-1] if trial else self.pools) if self.may_go(invocation) else ():
+            pick = self.choose(pool, self.ops[invocation.op], invocation)
             if pick:
-                return self.send(ident, inv, *pick)
+                return self.send(invocation_id, invocation, *pick)
         return False
 
-    # ---- the rule ledgers ----
+    # ---- rules that every dispatch must meet ----
 
-    def may_go(self, inv):
-        op, ran = self.ops[inv.op], [t for t in inv.tries if t[4] not in NEVER_RAN]
+    def may_go(self, invocation):
+        """Whether the invocation may have another dispatch now, at any server."""
+        operation, ran = (
+            self.ops[invocation.op],
+            [tried for tried in invocation.tries if tried[4] not in NEVER_RAN],
+        )
         return (
-            len(inv.tries) < self.dispatch_cap
-            and inv.deadline - self.now >= self.tick
-            and not (ran and op.effect == SIDE_EFFECTING)
-            and (self.may_duplicate or all(t[4] is not None for t in ran))
+            len(invocation.tries) < self.dispatch_cap
+            and invocation.deadline - self.now >= self.tick
+            and not (ran and operation.effect == SIDE_EFFECTING)
+            and (self.may_duplicate or all(tried[4] is not None for tried in ran))
             and (
-                op.effect != FINGERPRINTED
+                operation.effect != FINGERPRINTED
                 or not ran
-                or self.now < min(t[3] for t in ran) + op.window - 2 * self.tick
+                or self.now < min(tried[3] for tried in ran) + operation.window - 2 * self.tick
             )
         )
 
-    def admits(self, inv, server):
-        op = self.ops[inv.op]
-        at, home = (1, server.zone) if op.group == "zone" else (2, server.cell)
-        # Servers that stopped answering still take in: what piles up there they work through when they go on,
-        # for clients long gone. One dispatch at a time until one is answered.
-        silent = (
+    def admits(self, invocation, server):
+        """Whether the rules allow a dispatch of the invocation to this server now."""
+        operation = self.ops[invocation.op]
+        column, location = (1, server.zone) if operation.group == "zone" else (2, server.cell)
+        # An unresponsive server still accepts dispatches and will work through the backlog when it resumes,
+        # for clients that have left. It gets one dispatch at a time until it answers one.
+        unresponsive = (
             server.flying
             and len(server.recent) > 2
-            and all(wrong and took for _, took, wrong in server.recent[-3:])
+            and all(failed and took for _, took, failed in server.recent[-3:])
         )
         if (
             server.state != READY
-            or silent
+            or unresponsive
             or (
-                op.effect == FINGERPRINTED
-                and op.group != "all"
-                and any(t[at] != home for t in inv.tries if t[4] not in NEVER_RAN)
+                operation.effect == FINGERPRINTED
+                and operation.group != "all"
+                and any(tried[column] != location for tried in invocation.tries if tried[4] not in NEVER_RAN)
             )
         ):
             return False
         if self.on_trial(server.build):
-            return self.exposed(server.build, inv.op) and self.cold_room(server)
-        kept = self.no_return and self.phase in (TRIAL, RELEASED) and inv.key is not None
-        return not (kept and self.answered.get(inv.key, -1) > server.build) and self.cold_room(server)
+            return self.exposed(server.build, invocation.op) and self.cold_room(server)
+        bound = self.no_return and self.phase in (TRIAL, RELEASED) and invocation.key is not None
+        return not (bound and self.answered_by.get(invocation.key, -1) > server.build) and self.cold_room(
+            server
+        )
 
-    def exposed(self, build, op):
-        stage, cap = (self.stage, self.cap) if self.told and build == self.ver else (0, self.first_cap)
-        if cap <= 0 or (stage < self.guarded and self.ops[op].effect != IDEMPOTENT):
+    def exposed(self, build, operation):
+        """Whether the exposure cap allows one more dispatch of the operation to a build on trial."""
+        stage, cap = (self.stage, self.cap) if self.stage_known and build == self.ver else (0, self.first_cap)
+        if cap <= 0 or (stage < self.guarded_stages and self.ops[operation].effect != IDEMPOTENT):
             return False
-        made, took = self.at_trial.get(build), self.taken.trim(self.now)
-        count = lambda kept: kept.counts[op] if self.by_operation else len(kept.kept)
-        return (count(made.trim(self.now)) if made else 0) + 1 <= self.free + cap * count(took)
+        dispatched, accepted = self.at_trial.get(build), self.accepted.trim(self.now)
+        count = lambda window: window.counts[operation] if self.by_operation else len(window.kept)
+        return (
+            count(dispatched.trim(self.now)) if dispatched else 0
+        ) + 1 <= self.free_dispatches + cap * count(accepted)
 
     def cold_room(self, server):
-        """A cold server falls to what all proxies send together: each keeps to its fair part of its ramp."""
+        """Whether a cold server may get one more dispatch.
+
+        What overloads a cold server is the sum over all proxies: each keeps to its fair share of the ramp.
+        """
         if not self.cold(server):
             return True
-        fair = self.rate * server.heft / self.heft * self.ramp(server)
-        lately = sum(t > self.now - self.overload_for for t in server.sent)
-        return lately + 1 <= max(1.0, fair * self.overload_for)
-
-    def send(self, ident, inv, addr, server):
-        """The only way out: whatever proposes a dispatch, the ledgers above decide here."""
-        op = self.ops[inv.op]
-        if not (self.may_go(inv) and self.admits(inv, server)):
+        fair_rate = self.arrival_rate * server.weight / self.ready_weight * self.warm_fraction(server)
+        recent = sum(at > self.now - self.overload_for for at in server.sent)
+        return recent + 1 <= max(1.0, fair_rate * self.overload_for)
+
+    def send(self, invocation_id, invocation, address, server):
+        """Dispatches if the rules above allow it; every dispatch passes here. Returns whether it was sent."""
+        operation = self.ops[invocation.op]
+        if not (self.may_go(invocation) and self.admits(invocation, server)):
             return False
-        inv.tries.append([addr, server.zone, server.cell, self.now, None, server.build])
-        self.enter(ident, len(inv.tries) - 1, inv, server)
+        invocation.tries.append([address, server.zone, server.cell, self.now, None, server.build])
+        self.record_dispatch(invocation_id, len(invocation.tries) - 1, invocation, server)
         # An answer past the SLO time that earns nothing is not worth a server's work.
-        end = inv.deadline if op.late_value else min(inv.deadline, inv.taken + op.slo_time)
-        self.out.dispatch(ident, addr, max(self.tick, end - self.now))
+        end = (
+            invocation.deadline
+            if operation.late_value
+            else min(invocation.deadline, invocation.accepted_at + operation.slo_time)
+        )
+        self.out.dispatch(invocation_id, address, max(self.tick, end - self.now))
         return True
 
-    def enter(self, ident, seq, inv, server):
-        server.flying[ident, seq] = self.now
+    def record_dispatch(self, invocation_id, seq, invocation, server):
+        server.flying[invocation_id, seq] = self.now
         if self.cold(server):
             server.sent = server.sent[-199:] + [self.now]
         if self.on_trial(server.build):
-            self.at_trial.setdefault(server.build, Window(self.made_for)).add(self.now, inv.op)
-
-    def stands(self, now, ident, seq):
-        """Asked between rounds, before the first byte of a dispatch that waited for a disk or a connection:
-        would it be sent now? If so the ledgers count it from now; if not it never ran."""
-        inv = self.invs.get(ident)
-        tried = inv.tries[seq] if inv else None
-        server = self.servers[tried[0]] if inv else None
-        if not inv or server.build != tried[5]:
+            self.at_trial.setdefault(server.build, Window(self.exposure_span)).add(self.now, invocation.op)
+
+    def stands(self, now, invocation_id, seq):
+        """Whether a dispatch that waited for a disk or a connection may still be sent.
+
+        If so the rules count it as sent now; if not it never ran.
+        """
+        invocation = self.invs.get(invocation_id)
+        tried = invocation.tries[seq] if invocation else None
+        server = self.servers[tried[0]] if invocation else None
+        if not invocation or server.build != tried[5]:
             return False
         self.now, before = now, tried[3]
-        # As though it had not been sent: what was let go together by one disk must not meet a window as one.
-        server.flying.pop((ident, seq), None)
+        # The dispatch is first taken out of the counts: those that one disk releases together must not be
+        # counted together in a window.
+        server.flying.pop((invocation_id, seq), None)
         if before in server.sent:
             server.sent.remove(before)
         if server.build in self.at_trial:
-            self.at_trial[server.build].forget(before, inv.op)
-        tries, inv.tries = inv.tries, inv.tries[:seq] + inv.tries[seq + 1 :]
-        fine, inv.tries = self.may_go(inv) and self.admits(inv, server), tries
-        if fine:
+            self.at_trial[server.build].remove(before, invocation.op)
+        tries, invocation.tries = invocation.tries, invocation.tries[:seq] + invocation.tries[seq + 1 :]
+        allowed, invocation.tries = self.may_go(invocation) and self.admits(invocation, server), tries
+        if allowed:
             tried[3] = now
-            self.enter(ident, seq, inv, server)
-        return fine
-
-    def give_up(self, ident, inv):
-        """Answered at once, never held: throttled where trying again is harmless, else terminated."""
-        op, ran = self.ops[inv.op], any(t[4] not in NEVER_RAN for t in inv.tries)
-        if not ran or op.effect == IDEMPOTENT or (op.effect == FINGERPRINTED and op.group == "all"):
-            self.out.throttle(ident, come_back(self.retry_advice, op.slo_time, self.chance()))
+            self.record_dispatch(invocation_id, seq, invocation, server)
+        return allowed
+
+    def give_up(self, invocation_id, invocation):
+        """Answers at once instead of queueing: throttled where a retry is harmless, otherwise terminated."""
+        operation, ran = (
+            self.ops[invocation.op],
+            any(tried[4] not in NEVER_RAN for tried in invocation.tries),
+        )
+        if (
+            not ran
+            or operation.effect == IDEMPOTENT
+            or (operation.effect == FINGERPRINTED and operation.group == "all")
+        ):
+            self.out.throttle(invocation_id, come_back(self.retry_advice, operation.slo_time, self.random()))
         else:
-            self.out.terminate(ident)
-        self.client_gone(ident)
+            self.out.terminate(invocation_id)
+        self.client_gone(invocation_id)
 
-    def client_gone(self, ident):
-        inv = self.invs.pop(ident, None)
-        for seq, tried in enumerate(inv.tries if inv and self.may_cancel else ()):
+    def client_gone(self, invocation_id):
+        """Drops the invocation and cancels its open dispatches where that is possible."""
+        invocation = self.invs.pop(invocation_id, None)
+        for seq, tried in enumerate(invocation.tries if invocation and self.may_cancel else ()):
             if tried[4] is None:
-                self.out.cancel(ident, seq)
-
-    def outcome(self, ident, seq, addr, status, time_taken, closed, load):
-        server, inv = self.servers[addr], self.invs.get(ident)  # a server once listed stays known
-        sent, server.load = server.flying.pop((ident, seq), None), load or server.load
-        if inv is None:
+                self.out.cancel(invocation_id, seq)
+
+    def outcome(self, invocation_id, seq, address, status, time_taken, closed, load):
+        """The end of a dispatch. `closed` means that the client has its answer; else it may be retried."""
+        # A server that was listed once stays in self.servers.
+        server, invocation = self.servers[address], self.invs.get(invocation_id)
+        sent_at, server.load = server.flying.pop((invocation_id, seq), None), load or server.load
+        if invocation is None:
             return
-        self.sort_pools()
-        tried, op = inv.tries[seq], self.ops[inv.op]
+        self.update_pools()
+        tried, operation = invocation.tries[seq], self.ops[invocation.op]
         tried[4] = status
-        if server.build == tried[5] and sent is not None and status not in (MOOT, CANCELLED):
-            # A failure that comes at once is not quick: it must not draw more to where it came from.
-            if status == UNCONNECTED:  # its process is gone; what answers there next is cold
-                server.since, self.weigh_at = self.now, min(self.weigh_at, self.now + 4 * SWEEP)
+        if server.build == tried[5] and sent_at is not None and status not in (MOOT, CANCELLED):
+            if status == UNCONNECTED:  # its process has ended; the next one at this address starts cold
+                server.since, self.pools_due = self.now, min(self.pools_due, self.now + 4 * SWEEP_PERIOD_MS)
+            # The time of an immediate failure is not counted: it must not attract more dispatches.
             took = time_taken if status in (SUCCEEDED, TIMEOUT) else None
             server.recent = server.recent[-15:] + [(self.now, took, status != SUCCEEDED)]
-            self.times.append((self.now, took, server.zone, status != SUCCEEDED))
+            self.outcomes.append((self.now, took, server.zone, status != SUCCEEDED))
             if status in (SUCCEEDED, TIMEOUT):
-                self.means[inv.op].append((self.now, time_taken))
-                self.answers.append((tried[3], time_taken / op.slo_time))
-                if status == SUCCEEDED and time_taken <= op.slo_time:
-                    self.good.append(self.now)
-            if status in (SUCCEEDED, *BROKEN) or (status == TIMEOUT and time_taken > 0.9 * op.slo_time):
-                # A young server is slow whatever it runs: its times say nothing, its errors do.
-                young = server.launched and self.now - server.launched < YOUTH
-                self.note(addr, server, inv.op, inv.key or ident, status, None if young else time_taken)
+                self.times_taken[invocation.op].append((self.now, time_taken))
+                self.answers.append((tried[3], time_taken / operation.slo_time))
+                if status == SUCCEEDED and time_taken <= operation.slo_time:
+                    self.timely.append(self.now)
+            if status in (SUCCEEDED, *FAILURES) or (
+                status == TIMEOUT and time_taken > 0.9 * operation.slo_time
+            ):
+                # A young server is slow whichever build it runs: only its errors count against the build.
+                young = server.started_at and self.now - server.started_at < YOUNG_SERVER_MS
+                self.record_outcome(
+                    address,
+                    server,
+                    invocation.op,
+                    invocation.key or invocation_id,
+                    status,
+                    None if young else time_taken,
+                )
         if status == SUCCEEDED and self.no_return:
-            self.answered[inv.key] = max(self.answered.get(inv.key, 0), tried[5])
+            self.answered_by[invocation.key] = max(self.answered_by.get(invocation.key, 0), tried[5])
         if closed:
-            self.client_gone(ident)
-        elif all(t[4] is not None for t in inv.tries):
-            spent = not op.late_value and self.now >= inv.taken + 0.9 * op.slo_time
-            if spent or not self.propose(ident, inv, False):
-                self.give_up(ident, inv)
-
-    def note(self, addr, server, op, unit, status, took):
-        group, new = crc32(f"{addr}{unit}".encode()) % GROUPS, server.build == self.ver
-        self.keep(server.build, op, group, status, took)
-        # Judges pool what hundreds saw, none of whom can prove a thing; of the earlier build's, a part.
-        if self.tell and self.phase in (TRIAL, RELEASED) and (new or self.chance() < 4 * self.trial_share):
+            self.client_gone(invocation_id)
+        elif all(other[4] is not None for other in invocation.tries):
+            worthless = (
+                not operation.late_value and self.now >= invocation.accepted_at + 0.9 * operation.slo_time
+            )
+            if worthless or not self.propose(invocation_id, invocation, False):
+                self.give_up(invocation_id, invocation)
+
+    def record_outcome(self, address, server, operation, unit, status, took):
+        """Stores an outcome as evidence on its build and queues it for the judges.
+
+        A report is three bytes: group, status and whether the build is the newest; operation; 16 times
+        log2 of the time in ms.
+        """
+        group, new = crc32(f"{address}{unit}".encode()) % JACKKNIFE_GROUPS, server.build == self.ver
+        self.store_outcome(server.build, operation, group, status, took)
+        # The judges pool the outcomes of hundreds of balancers, none of which has enough for a proof. Of
+        # earlier builds' outcomes a sample is reported.
+        if (
+            self.other_judges
+            and self.phase in (TRIAL, RELEASED)
+            and (new or self.random() < 4 * self.trial_share)
+        ):
             size = min(255, round(16 * log2(max(1.1, took or 1))))
-            self.untold += bytes((group << 4 | TOLD.index(status) << 1 | new, op, size * (took is not None)))
+            self.unsent_reports += bytes(
+                (
+                    group << 4 | REPORTED_STATUSES.index(status) << 1 | new,
+                    operation,
+                    size * (took is not None),
+                )
+            )
 
-    def keep(self, build, op, group, status, took):
-        self.seen.setdefault((build, op), deque(maxlen=800)).append((self.now, group, status, took))
-        self.proof_due = self.proof_due or build == self.ver
+    def store_outcome(self, build, operation, group, status, took):
+        self.observed.setdefault((build, operation), deque(maxlen=800)).append(
+            (self.now, group, status, took)
+        )
+        self.proof_stale = self.proof_stale or build == self.ver
 
     def sweep(self):
-        for kept in (self.taken, *self.at_trial.values(), self.arrivals):
-            kept.trim(self.now)
-        while self.answers and self.answers[0][0] < self.now - 4 * self.slo_mean:
+        """Periodic work: time-outs, statistics, rescue of stuck attempts, the limit on load, the verdict."""
+        for window in (self.accepted, *self.at_trial.values(), self.arrivals):
+            window.trim(self.now)
+        while self.answers and self.answers[0][0] < self.now - 4 * self.mean_slo_time:
             self.answers.popleft()
         span = self.now - self.arrivals.kept[0][0] if self.arrivals.kept else 0.0
-        self.rate = len(self.arrivals.kept) / max(span, 1000.0)
+        self.arrival_rate = len(self.arrivals.kept) / max(span, 1000.0)
         if self.invs:
-            self.sort_pools()
-        for ident in [i for i, inv in self.invs.items() if self.now >= inv.deadline]:
-            self.invs.pop(ident)
-            self.out.terminate(ident)
-        fresh = sorted(x[1] for x in self.times if x[1] and x[0] > self.now - MEMORY)
-        if len(fresh) >= 3:
-            # A mean from the middle of a skewed time: a few sick servers do not move it.
-            usual = self.typical = 1.4 * fresh[len(fresh) // 2]
-            # A proxy that meets a server once a minute knows more of its zone: a jam, a slow link.
-            for zone in {x[2] for x in self.times}:
-                of = [x for x in self.times if x[2] == zone and x[0] > self.now - 2 * MEMORY]
-                took = [usual] * 3 + [x[1] for x in of if x[1]]
-                self.zones[zone] = sum(took) / len(took), sum(x[3] for x in of) / (3 + len(of))
-        self.rescue(self.typical or 0.15 * self.slo_mean)
-        self.pressure()
-        if self.untold and (self.now > self.told_at or len(self.untold) > 200):
-            for judge in self.tell:
-                self.out.signal(judge, self.ver.to_bytes(2, "big") + self.untold[:252])
-            self.untold, self.told_at = b"", self.now + 5 * SWEEP
+            self.update_pools()
+        for invocation_id in [i for i, invocation in self.invs.items() if self.now >= invocation.deadline]:
+            self.invs.pop(invocation_id)
+            self.out.terminate(invocation_id)
+        times = sorted(x[1] for x in self.outcomes if x[1] and x[0] > self.now - SAMPLE_LIFETIME_MS)
+        if len(times) >= 3:
+            # Estimates the mean of a skewed distribution from its median, which a few slow servers do not
+            # move.
+            typical = self.typical_time = 1.4 * times[len(times) // 2]
+            # A proxy that uses a server once a minute learns more from its zone as a whole: congestion there,
+            # a slow link.
+            for zone in {x[2] for x in self.outcomes}:
+                recent = [
+                    x for x in self.outcomes if x[2] == zone and x[0] > self.now - 2 * SAMPLE_LIFETIME_MS
+                ]
+                took = [typical] * 3 + [x[1] for x in recent if x[1]]
+                self.zone_health[zone] = sum(took) / len(took), sum(x[3] for x in recent) / (3 + len(recent))
+        self.rescue(self.typical_time or 0.15 * self.mean_slo_time)
+        self.update_limit()
+        if self.unsent_reports and (self.now > self.next_report_at or len(self.unsent_reports) > 200):
+            for judge in self.other_judges:
+                self.out.signal(judge, self.ver.to_bytes(2, "big") + self.unsent_reports[:252])
+            self.unsent_reports, self.next_report_at = b"", self.now + 5 * SWEEP_PERIOD_MS
         self.judge()
 
-    def rescue(self, guess):
-        """An attempt stuck at a sick or silent server is copied or, where two may not run, moved."""
-        for ident, inv in list(self.invs.items()) if len(self.invs) <= 0.6 * self.limit else ():
-            op, (addr, _, _, sent, status, _) = self.ops[inv.op], inv.tries[0]
-            age = self.now - sent
+    def rescue(self, typical_time):
+        """Duplicates an attempt stuck at a failing server; cancels it where two may not run at once."""
+        for invocation_id, invocation in (
+            list(self.invs.items()) if len(self.invs) <= 0.6 * self.limit else ()
+        ):
+            operation, (address, _, _, sent_at, status, _) = self.ops[invocation.op], invocation.tries[0]
+            age = self.now - sent_at
             if (
-                op.effect == SIDE_EFFECTING
-                or len(inv.tries) > 1
+                operation.effect == SIDE_EFFECTING
+                or len(invocation.tries) > 1
                 or status
-                or not 0.3 * op.slo_time <= age <= op.slo_time
+                or not 0.3 * operation.slo_time <= age <= operation.slo_time
             ):
                 continue
-            pace, fail = self.servers[addr].health(self.now, guess)
-            suspect = pace > 2.5 * guess or fail > 0.4
-            if self.may_duplicate and (suspect or age > 0.5 * op.slo_time):
-                self.propose(ident, inv, False)
+            pace, failure_rate = self.servers[address].health(self.now, typical_time)
+            suspect = pace > 2.5 * typical_time or failure_rate > 0.4
+            if self.may_duplicate and (suspect or age > 0.5 * operation.slo_time):
+                self.propose(invocation_id, invocation, False)
             elif suspect and self.may_cancel and not self.may_duplicate:
-                self.out.cancel(ident, 0)
+                self.out.cancel(invocation_id, 0)
+
+    def update_limit(self):
+        """Adapts the limit on open invocations, against queues that build up at all servers.
 
-    def pressure(self):
-        """Against queues at all servers: a bound on open invocations shrinks while one answer in five (of a
-        few, one in three) takes most of its SLO time. It hurts where load does not move what is late."""
+        The limit shrinks while one answer in five (one in three where there are few answers) takes most of
+        its SLO time. It does harm where less load does not make the answers faster.
+        """
         if not self.invs:
             return
         for few in (False, True):
-            since = max(self.now - (4 if few else 2) * self.slo_mean, self.cut_at)
-            fresh = [x for t, x in self.answers if t > since]
-            if len(fresh) >= 8:
+            since = max(self.now - (4 if few else 2) * self.mean_slo_time, self.limit_cut_at)
+            ratios = [ratio for at, ratio in self.answers if at > since]
+            if len(ratios) >= 8:
                 break
-        fresh = (fresh[-8:] if few else fresh) + [
-            2.0 for inv in self.invs.values() if since < inv.taken < self.now - self.ops[inv.op].slo_time
+        ratios = (ratios[-8:] if few else ratios) + [
+            2.0
+            for invocation in self.invs.values()
+            if since < invocation.accepted_at < self.now - self.ops[invocation.op].slo_time
         ]
-        slow = sum(1 for x in fresh if x > 0.8)
-        if len(fresh) >= 4 and slow > (0.35 if few else 0.2) * len(fresh):
-            # Where nobody answers in time at all, what goes out piles up for when they go on: one at a time.
-            least, part = (1.0, 0.5) if slow == len(fresh) else (4.0, 0.8)
-            floor = min(least, 0.25 * self.rate * self.slo_mean)  # below one: by chance
-            self.limit, self.cut_at = max(floor, part * min(self.limit, len(self.invs) + 1 + few)), self.now
-        elif len(self.invs) + 1 > 0.5 * self.limit and slow < len(fresh):
-            # By what is answered in half its time too, as a sender's window grows: a hundredth a sweep alone
-            # leaves a fleet half idle for long after a cut.
-            quick = sum(1 for x in fresh if x < 0.5) * SWEEP / max(SWEEP, self.now - since)
+        slow = sum(1 for ratio in ratios if ratio > 0.8)
+        if len(ratios) >= 4 and slow > (0.35 if few else 0.2) * len(ratios):
+            # Where no answer at all is fast enough, dispatches pile up until the servers resume: one at a
+            # time.
+            minimum, factor = (1.0, 0.5) if slow == len(ratios) else (4.0, 0.8)
+            # A limit below one admits at random.
+            floor = min(minimum, 0.25 * self.arrival_rate * self.mean_slo_time)
+            self.limit, self.limit_cut_at = (
+                max(floor, factor * min(self.limit, len(self.invs) + 1 + few)),
+                self.now,
+            )
+        elif len(self.invs) + 1 > 0.5 * self.limit and slow < len(ratios):
+            # The limit also grows by the answers within half their SLO time, as a TCP sender's window does:
+            # growth by a hundredth per sweep alone leaves a fleet half idle for long after a cut.
+            quick = (
+                sum(1 for ratio in ratios if ratio < 0.5)
+                * SWEEP_PERIOD_MS
+                / max(SWEEP_PERIOD_MS, self.now - since)
+            )
             self.limit = self.limit * 1.01 + 0.05 + min(0.1 * self.limit, quick / self.limit)
-        if few and (slow < len(fresh) or not fresh):  # late answers alone are no reason to ease
-            self.limit *= 1.01 ** min(10, (self.now - self.eased_at) / SWEEP)
-        self.eased_at = self.now
+        if few and (slow < len(ratios) or not ratios):  # slow answers alone are no reason to raise the limit
+            self.limit *= 1.01 ** min(10, (self.now - self.last_pressure_at) / SWEEP_PERIOD_MS)
+        self.last_pressure_at = self.now
+
+    def crowded(self, invocation):
+        """Whether the limit on open invocations leaves no place for this one.
 
-    def crowded(self, inv):
+        The less valuable an invocation, the smaller the part of the limit that it may fill.
+        """
         if len(self.invs) + 1 <= 0.6 * self.limit:
-            return False  # the least worth gives way first: it may fill only so much of the limit
-        came, seen, count = self.arrivals.counts, len(self.arrivals.kept), Counter()
-        for (_, tenant), n in came.items():
-            count[tenant] += n
-        over = {t for t, (part, _) in enumerate(self.tenants) if count[t] > 1.3 * seen * part}
-        worth = lambda op, tenant: self.ops[op].billed_value * (self.over_value if tenant in over else 1.0)
-        mine = worth(inv.op, inv.tenant)
-        below = sum(n for pair, n in came.items() if worth(*pair) < mine) / seen
-        return len(self.invs) + self.chance() * (self.limit < 4) > self.limit * (0.6 + 0.4 * below)
-
-    def spread(self, kept, usual=None):
-        """Weight, mean and delete-a-group jackknife variance of (group, bad, weight) outcomes."""
-        size, bads = [0.0] * GROUPS, [0.0] * GROUPS
-        for group, bad, w in kept:
-            size[group] += w
-            bads[group] += w * bad
-        n, x = sum(size), sum(bads)
-        mean = x / n
-        jack = (
-            (GROUPS - 1)
-            / GROUPS
-            * sum(((x - b) / (n - m) - mean) ** 2 for m, b in zip(size, bads) if n - m > 1e-9)
-        )
-        # Without failures, or with few filled groups, the jackknife vanishes: never less than a binomial's
-        # with a failure and a success added, or with the usual share where a few outcomes must speak.
-        real = n * n / sum(w * w for _, _, w in kept)
-        guess = (mean * real + 1) / (real + 2) if usual is None else usual
-        return real, mean, max(jack if real >= LEAST or usual is None else 0.0, guess * (1 - guess) / real)
-
-    def compare(self, new, old, usual=None):
-        """New outcomes, difference (one bad outcome forgiven), lower end of the interval, standard error."""
+            return False
+        arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.kept), Counter()
+        for (_, tenant), count in arrived.items():
+            by_tenant[tenant] += count
+        over_share = {
+            number
+            for number, (portion, _) in enumerate(self.tenants)
+            if by_tenant[number] > 1.3 * total * portion
+        }
+        value = lambda operation, tenant: (
+            self.ops[operation].billed_value * (self.over_share_value if tenant in over_share else 1.0)
+        )
+        own_value = value(invocation.op, invocation.tenant)
+        less_valuable = sum(count for pair, count in arrived.items() if value(*pair) < own_value) / total
+        return len(self.invs) + self.random() * (self.limit < 4) > self.limit * (0.6 + 0.4 * less_valuable)
+
+    # ---- the verdict on a build ----
+
+    def spread(self, outcomes, typical_rate=None):
+        """Effective size, mean and delete-a-group jackknife variance of (group, bad, weight) outcomes."""
+        sizes, bad_sums = [0.0] * JACKKNIFE_GROUPS, [0.0] * JACKKNIFE_GROUPS
+        for group, bad, weight in outcomes:
+            sizes[group] += weight
+            bad_sums[group] += weight * bad
+        size, bad_sum = sum(sizes), sum(bad_sums)
+        mean = bad_sum / size
+        jackknife = (
+            (JACKKNIFE_GROUPS - 1)
+            / JACKKNIFE_GROUPS
+            * sum(
+                ((bad_sum - b) / (size - m) - mean) ** 2 for m, b in zip(sizes, bad_sums) if size - m > 1e-9
+            )
+        )
+        # Without failures, or with few groups in use, the jackknife variance vanishes. It is bounded from
+        # below by a binomial variance, with one failure and one success added, or of the typical rate where a
+        # few outcomes must suffice.
+        effective = size * size / sum(weight * weight for _, _, weight in outcomes)
+        rate = (mean * effective + 1) / (effective + 2) if typical_rate is None else typical_rate
+        return (
+            effective,
+            mean,
+            max(
+                jackknife if effective >= MINIMUM_OUTCOMES or typical_rate is None else 0.0,
+                rate * (1 - rate) / effective,
+            ),
+        )
+
+    def compare(self, new, old, typical_rate=None):
+        """Compares the bad share of a new build's outcomes with that of earlier builds.
+
+        Returns (number of new outcomes, difference, lower end of its confidence interval, standard error).
+        The difference forgives one bad outcome; the lower end is -1 while there are too few outcomes.
+        """
         if not new or not old:
             return len(new), 0.0, -1.0, 0.0
-        (n, mean, v), (m, base, w) = self.spread(new, usual), self.spread(old, usual)
-        proof = n >= (LEAST if usual is None else self.least) <= m
-        low = mean - base - self.width * sqrt(v + w) if proof else -1.0
-        return n, mean - base - (0.0 if self.many_backs else 1 / n), low, sqrt(v + w)
+        (new_size, new_mean, new_variance), (old_size, old_mean, old_variance) = (
+            self.spread(new, typical_rate),
+            self.spread(old, typical_rate),
+        )
+        enough = new_size >= (MINIMUM_OUTCOMES if typical_rate is None else self.minimum_outcomes) <= old_size
+        low = new_mean - old_mean - self.width * sqrt(new_variance + old_variance) if enough else -1.0
+        return (
+            new_size,
+            new_mean - old_mean - (0.0 if self.several_rollback_votes else 1 / new_size),
+            low,
+            sqrt(new_variance + old_variance),
+        )
 
     def evidence(self):
-        """Per operation: failed or late, slower than four fifths of the earlier answers, errors, failed."""
+        """Returns whether tallies were used, then four lists with a result of compare() for each operation.
+
+        The lists compare failed or late outcomes, outcomes slower than four fifths of the earlier ones,
+        errors, and failures.
+        """
         rows = [], [], [], []
-        # The larger sample judges the trial: the platform's tallies, or what this balancer saw.
-        mine, told = (
-            sum(len(kept) for (b, _), kept in source.items() if b == self.ver)
-            for source in (self.seen, self.tallied)
-        )
-        ops, pooled = range(len(self.ops)), self.phase == TRIAL and told > mine
-        source = self.tallied if pooled else self.seen
-        self.width = self.all_width if pooled or self.judging else self.own_width
-        earlier = lambda source, op: [
-            k for (b, o), kept in source.items() if o == op and b < self.ver for k in kept
+        # A trial is judged by the larger sample: the platform's tallies, or what this balancer observed.
+        observed_count, tallied_count = (
+            sum(len(outcomes) for (build, _), outcomes in source.items() if build == self.ver)
+            for source in (self.observed, self.tallied)
+        )
+        operations, pooled = range(len(self.ops)), self.phase == TRIAL and tallied_count > observed_count
+        source = self.tallied if pooled else self.observed
+        self.width = self.pooled_width if pooled or self.is_judge else self.own_width
+        earlier = lambda source, operation: [
+            x
+            for (build, o), outcomes in source.items()
+            if o == operation and build < self.ver
+            for x in outcomes
         ]
-        known = [k[2] == ERROR for op in ops for k in earlier(self.seen, op)]
-        usual = (sum(known) + 1) / (len(known) + 2) if self.many_backs else None
-        late = lambda k, than: (exp(-than / k[3]) if pooled else k[3] > than) if k[3] else 0.0
-        pair = lambda mark, two, *usual: self.compare(
-            *([(k[1], mark(k), k[4]) for k in kept] for kept in two), *usual
-        )
-        for op in ops:
-            # Against bursts and slowdowns of all servers at once: the earlier build's outcomes weigh as much
-            # in each two seconds as the new one's do there; what has no counterpart is left out.
-            new, old = source.get((self.ver, op), ()), earlier(source, op)
-            news, olds = (Counter(k[0] // 2000 for k in kept) for kept in (new, old))
+        earlier_errors = [
+            x[2] == ERROR for operation in operations for x in earlier(self.observed, operation)
+        ]
+        typical_rate = (
+            (sum(earlier_errors) + 1) / (len(earlier_errors) + 2) if self.several_rollback_votes else None
+        )
+        late = lambda x, limit: (exp(-limit / x[3]) if pooled else x[3] > limit) if x[3] else 0.0
+        comparison = lambda is_bad, two, *rate: self.compare(
+            *([(x[1], is_bad(x), x[4]) for x in outcomes] for outcomes in two), *rate
+        )
+        for operation in operations:
+            # Against bursts and slowdowns of all servers at once, the earlier builds' outcomes are given the
+            # weight that the new build's have in each two seconds; seconds with outcomes of one side are left
+            # out.
+            new, old = source.get((self.ver, operation), ()), earlier(source, operation)
+            new_counts, old_counts = (Counter(x[0] // 2000 for x in outcomes) for outcomes in (new, old))
             both = (
-                [(*k, 1) for k in new if k[0] // 2000 in olds],
-                [(*k, news[k[0] // 2000] / olds[k[0] // 2000]) for k in old if k[0] // 2000 in news],
+                [(*x, 1) for x in new if x[0] // 2000 in old_counts],
+                [
+                    (*x, new_counts[x[0] // 2000] / old_counts[x[0] // 2000])
+                    for x in old
+                    if x[0] // 2000 in new_counts
+                ],
             )
-            times = sorted(k[3] for k in both[1] if k[3])
-            mark = times[int(0.8 * len(times))] if times else 0.0
-            mark = 1.6 * sum(times) / len(times) if pooled and times else mark  # of exponential times
-            slo = 0.9 * self.ops[op].slo_time
-            rows[0].append(pair(lambda k: 1.0 if k[2] in BROKEN else late(k, slo), both))
-            fair = ([], []) if self.loaded and self.stage else both  # under more load any is slower
-            rows[1].append(pair(lambda k: late(k, mark), [[k for k in kept if k[3]] for kept in fair]))
-            # Not resets, which a broken link brings any build; since the stage began, lest idle ones hide it.
-            own = [(*k, 1) for k in self.seen.get((self.ver, op), ()) if k[0] > self.staged_at]
-            old = [(*k, 1) for k in earlier(self.seen, op)]
-            # And of the last seconds alone: a release told late leaves idle ones of the trial in the count.
-            last = [k for k in own if k[0] > self.now - MEMORY]
+            times = sorted(x[3] for x in both[1] if x[3])
+            slow_mark = times[int(0.8 * len(times))] if times else 0.0
+            # The same quantile of exponential times, estimated from their mean.
+            slow_mark = 1.6 * sum(times) / len(times) if pooled and times else slow_mark
+            slo = 0.9 * self.ops[operation].slo_time
+            rows[0].append(comparison(lambda x: 1.0 if x[2] in FAILURES else late(x, slo), both))
+            fair = (
+                ([], []) if self.trial_loaded and self.stage else both
+            )  # any build is slower under more load
+            rows[1].append(
+                comparison(lambda x: late(x, slow_mark), [[x for x in outcomes if x[3]] for outcomes in fair])
+            )
+            # Resets are left out, as a broken link causes them for any build. Only outcomes since the stage
+            # began count, so that an idle trial before it does not hide the errors.
+            own = [
+                (*x, 1) for x in self.observed.get((self.ver, operation), ()) if x[0] > self.stage_began_at
+            ]
+            old = [(*x, 1) for x in earlier(self.observed, operation)]
+            # The last seconds are also judged alone: where the release was announced late, outcomes of the
+            # idle trial are still in the count.
+            last = [x for x in own if x[0] > self.now - SAMPLE_LIFETIME_MS]
             rows[2].append(
                 max(
-                    (pair(lambda k: k[2] == ERROR, (some, old), usual) for some in (own, last)),
+                    (comparison(lambda x: x[2] == ERROR, (some, old), typical_rate) for some in (own, last)),
                     key=lambda row: row[2],
                 )
             )
-            rows[3].append(pair(lambda k: k[2] in BROKEN, both))
+            rows[3].append(comparison(lambda x: x[2] in FAILURES, both))
         return pooled, *rows
 
     def collapsed(self):
-        """After the release there is only before to compare with: two counts on end under two fifths of the
-        answers in time, most of what is asked unanswered; deeper than the slowdowns of all servers seen."""
-        if self.phase != RELEASED or self.now < self.released_at + 3 * COUNT or self.good_before < self.much:
+        """Whether timely answers collapsed after the release.
+
+        Only the time before the release remains to compare with. Asks for two successive counts below two
+        fifths of the former count, with most arrivals unanswered: a deeper drop than slowdowns of all servers
+        have caused.
+        """
+        if (
+            self.phase != RELEASED
+            or self.now < self.released_at + 3 * COUNTING_SPAN_MS
+            or self.timely_before_release < self.collapse_minimum
+        ):
             return False
-        first, last = (sum(a < t - self.now <= a + COUNT for t in self.good) for a in (-2 * COUNT, -COUNT))
-        return max(first, last) < 0.4 * self.good_before and last < 0.3 * len(self.arrivals.kept)
+        first, last = (
+            sum(start < at - self.now <= start + COUNTING_SPAN_MS for at in self.timely)
+            for start in (-2 * COUNTING_SPAN_MS, -COUNTING_SPAN_MS)
+        )
+        return max(first, last) < 0.4 * self.timely_before_release and last < 0.3 * len(self.arrivals.kept)
 
     def judge(self):
+        """Votes to roll back or to promote the newest build, if a vote is due and the evidence suffices."""
         if self.now < self.vote_due or self.phase not in (TRIAL, RELEASED):
             return
-        if self.proof_due or not self.proof or self.now > self.proof[0] + 1000:
-            self.proof, self.proof_due = (self.now, *self.evidence()), False
-        _, pooled, wrong, slow, hard, failed = self.proof
-        verdict, newest = None, self.started.get(self.ver, self.now) + self.loaded * self.warm_within
-        step = min(self.stage, len(self.spare) - 1)  # against news of more stages than the settings had
+        if self.proof_stale or not self.proof or self.now > self.proof[0] + 1000:
+            self.proof, self.proof_stale = (self.now, *self.evidence()), False
+        _, pooled, wrong, slow, errors, failed = self.proof
+        verdict, build_up_at = (
+            None,
+            self.newest_start.get(self.ver, self.now) + self.trial_loaded * self.warm_within,
+        )
+        step = min(
+            self.stage, len(self.remaining_shares) - 1
+        )  # the release may have more stages than the settings
         proven = lambda rows, margin: any(row[2] > margin for row in rows)
-        # After a release the last answers of draining machines are no fair sample to be late or slow by.
+        # After a release the last answers of draining servers are no fair sample for lateness or slowness.
         if (
             self.phase == TRIAL
-            and (proven(wrong, BACK_MARGIN) or proven(slow, SLOW_BACK))
-            or proven(hard, BACK_MARGIN)
+            and (proven(wrong, ROLLBACK_MARGIN) or proven(slow, SLOW_ROLLBACK_MARGIN))
+            or proven(errors, ROLLBACK_MARGIN)
             or self.collapsed()
         ):
             verdict = BACK
-        elif self.phase == TRIAL and self.votes_on:
-            quiet, seen = self.now >= newest + self.quiet_after, sum(row[0] for row in wrong)
-            # Late and slow answers of a burst are forgiven by their error, the less the more is handed over;
-            # one failure in all, not one an operation: against builds that fail a little of each.
-            excess = sum(n * d + (not self.many_backs) for n, d, _, error in failed if error) - 1
-            fine = excess < ON_MARGIN * seen and all(
-                d - part * error < most
-                for part, most, rows in (
-                    (0, ON_MARGIN, failed),
-                    (self.spare[step], ON_MARGIN, wrong),
-                    (self.spare[step], SLOW_ON, slow),
+        elif self.phase == TRIAL and self.votes_to_promote:
+            quiet, outcomes = (
+                self.now >= build_up_at + self.quiet_time,
+                sum(row[0] for row in wrong),
+            )
+            # Late and slow answers in a burst are forgiven by their standard error, less so the more machines
+            # are handed over. One failure is forgiven in all, not one for each operation, against builds that
+            # fail a little of each.
+            excess = (
+                sum(
+                    size * difference + (not self.several_rollback_votes)
+                    for size, difference, _, error in failed
+                    if error
                 )
-                for _, d, _, error in rows
+                - 1
             )
-            if (quiet or seen >= self.need[pooled][step]) and fine and self.now >= newest + SETTLE:
-                self.sort_pools()
-                verdict = ON if self.pools[1].picks and self.chance() < self.vote_chance else None
-        self.vote_due = self.now + (2 if self.invs else 10) * SWEEP
+            fine = excess < PROMOTE_MARGIN * outcomes and all(
+                difference - share * error < maximum
+                for share, maximum, rows in (
+                    (0, PROMOTE_MARGIN, failed),
+                    (self.remaining_shares[step], PROMOTE_MARGIN, wrong),
+                    (self.remaining_shares[step], SLOW_PROMOTE_MARGIN, slow),
+                )
+                for _, difference, _, error in rows
+            )
+            if (
+                (quiet or outcomes >= self.required_outcomes[pooled][step])
+                and fine
+                and self.now >= build_up_at + SETTLE_MS
+            ):
+                self.update_pools()
+                verdict = ON if self.pools[1].picks and self.random() < self.promote_probability else None
+        self.vote_due = self.now + (2 if self.invs else 10) * SWEEP_PERIOD_MS
         if verdict:
-            if (verdict, self.ver, self.stage) != self.voted:  # first: the vote carries what it rests on
-                seen = " ".join(f"{n:.0f}/{d:.2f}/{low:.2f}" for n, d, low, _ in wrong + slow + hard)
-                self.out.log(f"{WORDS[verdict]} build {self.ver} stage {self.stage}: {seen}")
+            if (
+                verdict,
+                self.ver,
+                self.stage,
+            ) != self.last_vote:  # logged first: the vote carries its evidence
+                outcomes = " ".join(
+                    f"{size:.0f}/{difference:.2f}/{low:.2f}"
+                    for size, difference, low, _ in wrong + slow + errors
+                )
+                self.out.log(f"{VERDICT_NAMES[verdict]} build {self.ver} stage {self.stage}: {outcomes}")
             self.out.vote(self.stage, self.ver, verdict)
-            self.voted, self.vote_at = (verdict, self.ver, self.stage), self.now
+            self.last_vote, self.voted_at = (verdict, self.ver, self.stage), self.now
             self.vote_due = self.now + self.answer_wait
