--- a/gannetfront/interface.py
+++ b/gannetfront/interface.py
@@ -1,13 +1,15 @@
-"""What passes between the decisions (balance.py) and whatever carries them (benchlink, later a proxy).
+"""Interface between the decision module (balance.py) and the carriers that run it, such as a proxy.
 
-The carrier makes one Balancer per proxy from a Deployment and a seed, then calls `round(now, events, out)`
-with all that came in. An event is a tuple: the name of a Balancer method, then its fields. Decisions are
-written into `out`, a Writer, in order. Times are float milliseconds; ids are opaque.
+A carrier creates one Balancer per proxy from a Deployment and a seed, then calls `round(now, events, out)`
+with all events received since the last round. An event is a tuple of the name of a Balancer method and its
+fields. Decisions are written in order to `out`, a Writer. Times and durations are float milliseconds; ids are
+opaque.
 """
 
 from dataclasses import dataclass
 from typing import Any, Iterable, Protocol
 
+# Statuses of a dispatch.
 SUCCEEDED, ERROR, FULL, TIMEOUT, UNCONNECTED, RESET, CANCELLED, MOOT = (
     "succeeded",
     "error",
@@ -18,43 +20,51 @@
     "cancelled",
     "moot",
 )
+# Effects of an operation.
 IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = "idempotent", "fingerprinted", "side-effecting"
+# States of a server.
 READY, DRAINING, GONE = "ready", "draining", "gone"
-TRIAL, GOING_BACK, RELEASED, WITHDRAWN = 0, 1, 2, 3  # phases of a build
-NO_VOTE, ON, HOLD, BACK = 0, 1, 2, 3  # verdicts
+# Phases of a build.
+TRIAL, GOING_BACK, RELEASED, WITHDRAWN = 0, 1, 2, 3
+# Verdicts that a vote may carry: none, promote, hold, roll back.
+NO_VOTE, ON, HOLD, BACK = 0, 1, 2, 3
 
 
 @dataclass(frozen=True)
 class Operation:
+    """A kind of invocation."""
+
     name: str
     effect: str  # IDEMPOTENT, FINGERPRINTED or SIDE_EFFECTING
-    slo_time: float
-    time_limit: float
+    slo_time: float  # ms; an answer within it earns the billed value
+    time_limit: float  # ms; the longest that a client waits
     billed_value: float
-    late_value: float  # fraction still earned after the SLO time
-    window: float  # how long a fingerprint is remembered
+    late_value: float  # fraction of the billed value that is earned after the SLO time
+    window: float  # ms; how long a fingerprint is remembered
     group: str  # which servers share fingerprints: "all", "zone" or "cell"
 
 
 @dataclass(frozen=True)
 class Rollout:
+    """How a new build is rolled out in stages."""
+
     caps: tuple  # exposure cap by stage
-    machine_shares: tuple  # share of the fleet by stage
-    soak: float
-    window: float  # exposure window
-    free: float  # dispatches at a trial build beside the cap
-    by_operation: bool  # exposure counted for each operation
-    guarded: int  # first stages closed to operations with an effect
-    no_return: bool
-    on_votes: int
-    back_votes: int
+    machine_shares: tuple  # share of the fleet that runs the new build, by stage
+    soak: float  # ms; shortest duration of a stage once its machines run
+    window: float  # ms; exposure window
+    free: float  # dispatches to a trial build per window that are allowed on top of the cap
+    by_operation: bool  # exposure is counted separately for each operation
+    guarded: int  # number of first stages that are closed to operations with an effect
+    no_return: bool  # a key that the new build answered is not sent to an earlier one
+    on_votes: int  # votes needed to promote
+    back_votes: int  # votes needed to roll back
     pause_votes: int
-    timed: bool  # stages move by themselves
-    vote_life: float
-    answer_wait: float
-    told_every: float
-    tally_period: float
-    tally_share: float
+    timed: bool  # stages advance without votes
+    vote_life: float  # ms; how long a vote is valid
+    answer_wait: float  # ms; after which an unanswered vote may have been counted
+    told_every: float  # ms between repeated announcements of the stage
+    tally_period: float  # ms between tallies of all proxies' samples; 0: none
+    tally_share: float  # share of dispatches that are sampled
     contested_share: float
     delay_price: float
     harm_price: float
@@ -62,38 +72,40 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The facts one proxy is given at start; the decisions keep only figures derived from them."""
+    """The configuration that one proxy's balancer gets at start."""
 
-    balancers: int
-    me: int
-    zone: int
+    balancers: int  # number of balancers expected to take part
+    me: int  # index of this balancer
+    zone: int  # index of this balancer's zone
     operations: tuple
-    tenants: tuple  # (portion, invocations a second within the share)
-    over_share_value: float
+    tenants: tuple  # (portion, invocations per second within the share) by tenant number
+    over_share_value: float  # value of an invocation beyond its tenant's portion, relative to one within it
     rollout: Rollout
     may_probe: bool
-    may_signal: bool
+    may_signal: bool  # balancers may send each other messages
     may_cancel: bool
-    may_duplicate: bool
-    retry_advice: float  # longest wait clients honour; 0 where none can be told
-    dispatch_cap: int
-    must_subscribe: bool
+    may_duplicate: bool  # two attempts of an invocation may run at once where its effect allows it
+    retry_advice: float  # ms; longest retry delay that clients honour, 0 where they cannot be given one
+    dispatch_cap: int  # maximum number of dispatches of an invocation
+    must_subscribe: bool  # the server list has to be subscribed to by Writer.subscribe()
     report_fields: tuple
-    cross_zone_price: float
-    drain_grace: float
-    cold_share: float
-    warm_within: float
-    fall_multiple: float
-    overload_for: float
-    tick: float
+    cross_zone_price: float  # price of a dispatch to another zone, as a share of an invocation's value
+    drain_grace: float  # ms after the update in which a draining or gone server may still get dispatches
+    cold_share: float  # share of its capacity that a server has when it starts
+    warm_within: float  # ms after its start, at which a server has its full capacity
+    fall_multiple: float  # a cold server fails under this multiple of its capacity ...
+    overload_for: float  # ... for this long, in ms
+    tick: float  # ms; shortest interval between two rounds
 
 
 class Writer(Protocol):
-    def dispatch(self, inv: Any, server: str, time_limit: float) -> None: ...
-    def cancel(self, inv: Any, seq: int) -> None: ...
-    def throttle(self, inv: Any, retry_in: float) -> None: ...
-    def terminate(self, inv: Any) -> None: ...
-    def vote(self, stage: int, ver: int, verdict: int) -> None: ...
+    """Receives the decisions of a round. `seq` counts an invocation's dispatches from 0."""
+
+    def dispatch(self, invocation_id: Any, server: str, time_limit: float) -> None: ...
+    def cancel(self, invocation_id: Any, seq: int) -> None: ...
+    def throttle(self, invocation_id: Any, retry_in: float) -> None: ...
+    def terminate(self, invocation_id: Any) -> None: ...
+    def vote(self, stage: int, version: int, verdict: int) -> None: ...
     def probe(self, server: str) -> None: ...
     def signal(self, target: str, payload: bytes) -> None: ...
     def subscribe(self, enable: bool) -> None: ...
@@ -104,7 +116,12 @@
 
 
 class Decisions(Protocol):
+    """The decision module as a carrier calls it: `round` with all events since the last one."""
+
     def round(self, now: float, events: Iterable[tuple], out: Writer) -> None: ...
 
-    def stands(self, now: float, ident: Any, seq: int) -> bool:
-        """Between rounds, before the first byte of a dispatch that had to wait: False means that it never ran."""
+    def stands(self, now: float, invocation_id: Any, seq: int) -> bool:
+        """Whether a dispatch that had to wait may still be sent.
+
+        Called between rounds, before the first byte is sent. False means that the dispatch never ran.
+        """
