--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Plays a scenario file: see tests/scenarios/README for the notation."""
+"""Runs the steps of a scenario file on one balancer; tests/scenarios/README describes the notation."""
 
 from gannetfront import interface as i
 from gannetfront.balance import Balancer
@@ -56,6 +56,8 @@
 
 
 class Recorder:
+    """A Writer that records each decision as a tuple of its name and fields."""
+
     def __init__(self):
         self.acts = []
 
@@ -64,138 +66,161 @@
 
 
 class Stage:
-    """One balancer, its clock, and what it decided."""
+    """One balancer with its clock and its recorded decisions. Each step `verb` is the method `do_verb`."""
 
     def __init__(self, changes):
-        rollout = ROLLOUT | {k: v for k, v in changes.items() if k in ROLLOUT}
-        site = SITE | {k: v for k, v in changes.items() if k in SITE}
+        rollout = ROLLOUT | {name: value for name, value in changes.items() if name in ROLLOUT}
+        deployment = SITE | {name: value for name, value in changes.items() if name in SITE}
         self.balancer = Balancer(
-            7, i.Deployment(operations=tuple(OPS.values()), rollout=i.Rollout(**rollout), **site)
+            7, i.Deployment(operations=tuple(OPS.values()), rollout=i.Rollout(**rollout), **deployment)
         )
         self.out, self.now, self.queue, self.next_inv, self.listing = Recorder(), 1000.0, [], 1, {}
 
     def flush(self):
+        """Runs one round with the queued events."""
         self.balancer.round(self.now, self.queue, self.out)
         self.queue = []
 
-    def wait(self, span):
+    def wait(self, duration):
+        """Advances the clock, with a round every 100 ms."""
         self.flush()
-        end = self.now + span
+        end = self.now + duration
         while self.now + 100 < end:
             self.now += 100
             self.balancer.round(self.now, [], self.out)
         self.now = end
 
-    def dispatches(self, inv=None):
-        return [a for a in self.out.acts if a[0] == "dispatch" and inv in (None, a[1])]
+    def dispatches(self, invocation_id=None):
+        """The dispatches of an invocation, or all."""
+        return [act for act in self.out.acts if act[0] == "dispatch" and invocation_id in (None, act[1])]
 
     def play(self, line):
-        verb, *p = line.split()
-        getattr(self, "do_" + verb)(*p)
+        """Runs one line of a scenario."""
+        verb, *arguments = line.split()
+        getattr(self, "do_" + verb)(*arguments)
 
-    def do_server(self, name, *facts):
-        f = dict(zone="0", build="1", cell="0", state="ready", age="99999") | dict(
-            x.split("=") for x in facts
+    def do_server(self, name, *options):
+        values = dict(zone="0", build="1", cell="0", state="ready", age="99999") | dict(
+            option.split("=") for option in options
         )
         entry = (
             name,
-            int(f["zone"]),
-            int(f["build"]),
+            int(values["zone"]),
+            int(values["build"]),
             0,
-            int(f["cell"]),
-            f["state"],
+            int(values["cell"]),
+            values["state"],
             1.0,
-            self.now - float(f["age"]),
+            self.now - float(values["age"]),
         )
         self.queue.append(("listed", "changes", (entry,)))
 
     def do_list(self, kind, *names):
-        entries = tuple((n, 0, 1, 0, 0, i.READY, 1.0, 0.0) for n in names)
+        entries = tuple((name, 0, 1, 0, 0, i.READY, 1.0, 0.0) for name in names)
         self.queue.append(("listed", kind, entries))
         self.flush()
 
-    def do_stage(self, stage, cap, ver, phase="trial"):
+    def do_stage(self, stage, cap, version, phase="trial"):
         phases = dict(trial=i.TRIAL, back=i.GOING_BACK, released=i.RELEASED, withdrawn=i.WITHDRAWN)
         self.queue.append(
-            ("stage_told", False, int(stage), 0.0, float(cap), i.SUCCEEDED, int(ver), phases[phase])
+            ("stage_told", False, int(stage), 0.0, float(cap), i.SUCCEEDED, int(version), phases[phase])
         )
 
-    def do_wait(self, span):
-        self.wait(float(span))
+    def do_wait(self, duration):
+        self.wait(float(duration))
 
-    def do_take(self, count, op, left="3000"):
+    def do_take(self, count, operation, time_left="3000"):
+        """New invocations, one in each round."""
         for _ in range(int(count)):
-            self.queue.append(("invocation", self.next_inv, None, NAMES.index(op), 0, float(left)))
+            self.queue.append(
+                ("invocation", self.next_inv, None, NAMES.index(operation), 0, float(time_left))
+            )
             self.next_inv += 1
             self.flush()
 
-    def do_answer(self, inv, status, took="100"):
+    def do_answer(self, invocation_id, status, took="100"):
         """The last dispatch of an invocation ends."""
-        sent = self.dispatches(int(inv))
+        sent = self.dispatches(int(invocation_id))
         closed = status == i.SUCCEEDED
-        self.queue.append(("outcome", int(inv), len(sent) - 1, sent[-1][2], status, float(took), closed, {}))
+        self.queue.append(
+            ("outcome", int(invocation_id), len(sent) - 1, sent[-1][2], status, float(took), closed, {})
+        )
         self.flush()
 
-    def do_serve(self, seconds, each, *facts):
-        """Traffic: so many of each operation every 100 ms; `bad=BUILD:OP:EVERY`, `slow=BUILD:FACTOR`."""
-        f, self.count = dict(x.split("=") for x in facts), getattr(self, "count", 0)
+    def do_serve(self, seconds, each, *options):
+        """Traffic: `each` invocations of every operation every 100 ms, answered at once.
+
+        `bad=BUILD:OPERATION:EVERY` turns every so many answers into errors, `slow=BUILD:FACTOR` multiplies
+        the times taken and `wait=OPERATION:MS` sets them.
+        """
+        values, self.count = dict(option.split("=") for option in options), getattr(self, "count", 0)
 
-        def builds(addr):
-            return self.balancer.servers[addr].build
+        def build_of(address):
+            return self.balancer.servers[address].build
 
         for _ in range(int(float(seconds) * 10)):
             first, begin = self.next_inv, len(self.out.acts)
-            for op in NAMES:
-                self.do_take(each, op)
-            for act in [a for a in self.out.acts[begin:] if a[0] == "dispatch" and a[1] >= first]:
-                _, inv, addr, _ = act
-                op, status, took = NAMES[self.balancer.invs[inv].op], i.SUCCEEDED, 100.0 + inv * 37 % 100
-                if "bad" in f:
-                    ver, which, every = f["bad"].split(":")
-                    if builds(addr) == int(ver) and which in (op, "all"):
+            for name in NAMES:
+                self.do_take(each, name)
+            for act in [act for act in self.out.acts[begin:] if act[0] == "dispatch" and act[1] >= first]:
+                _, invocation_id, address, _ = act
+                name, status, took = (
+                    NAMES[self.balancer.invs[invocation_id].op],
+                    i.SUCCEEDED,
+                    100.0 + invocation_id * 37 % 100,
+                )
+                if "bad" in values:
+                    version, which, every = values["bad"].split(":")
+                    if build_of(address) == int(version) and which in (name, "all"):
                         self.count += 1
                         status = i.ERROR if self.count % int(every) == 0 else status
-                if "slow" in f and builds(addr) == int(f["slow"].split(":")[0]):
-                    took *= float(f["slow"].split(":")[1])
-                if "wait" in f and op == f["wait"].split(":")[0]:
-                    took = float(f["wait"].split(":")[1])
-                self.queue.append(("outcome", inv, 0, addr, status, took, True, {}))
+                if "slow" in values and build_of(address) == int(values["slow"].split(":")[0]):
+                    took *= float(values["slow"].split(":")[1])
+                if "wait" in values and name == values["wait"].split(":")[0]:
+                    took = float(values["wait"].split(":")[1])
+                self.queue.append(("outcome", invocation_id, 0, address, status, took, True, {}))
             self.wait(100)
 
     def do_tallies(self, periods, *builds):
-        """So many periods of two seconds; a build's sample of the first operation: `BUILD:DISPATCHES:BAD`."""
+        """Tallies for a number of two-second periods; `BUILD:DISPATCHES:BAD` samples the first operation."""
         for _ in range(int(periods)):
-            for ver, sample, bad in (x.split(":") for x in builds):
-                self.queue.append(("tally", int(sample), 500.0, int(bad), 150.0, 0, int(ver)))
+            for version, sample, bad in (build.split(":") for build in builds):
+                self.queue.append(("tally", int(sample), 500.0, int(bad), 150.0, 0, int(version)))
             self.wait(2000)
 
-    def do_expect(self, what, *p):
+    def do_expect(self, what, *arguments):
         self.flush()
         acts = self.out.acts
         if what == "votes":
             names = {i.ON: "on", i.BACK: "back"}
-            got = sorted({names[a[3]] for a in acts if a[0] == "vote"})
-            assert got == sorted(p), f"votes {got}"
+            actual = sorted({names[act[3]] for act in acts if act[0] == "vote"})
+            assert actual == sorted(arguments), f"votes {actual}"
             return
         if what == "sent":  # expect sent INV COUNT
-            got = len(self.dispatches(int(p[0])))
-            assert got == int(p[1]), f"inv {p[0]} sent {got} times"
+            actual = len(self.dispatches(int(arguments[0])))
+            assert actual == int(arguments[1]), f"invocation {arguments[0]} was sent {actual} times"
         elif what == "last":  # expect last INV SERVER
-            assert self.dispatches(int(p[0]))[-1][2] == p[1]
+            assert self.dispatches(int(arguments[0]))[-1][2] == arguments[1]
         elif what == "final":  # expect final INV throttle|terminate
-            got = [a[0] for a in acts if a[0] in ("throttle", "terminate") and a[1] == int(p[0])]
-            assert got == list(p[1:]), f"inv {p[0]} ended {got}"
-        elif what == "held":  # expect held OP COUNT: throttled, at least that many (0: none)
-            got = sum(
-                1 for a in acts if a[0] in ("throttle", "terminate") and (a[1] - 1) % 3 == NAMES.index(p[0])
+            actual = [
+                act[0] for act in acts if act[0] in ("throttle", "terminate") and act[1] == int(arguments[0])
+            ]
+            assert actual == list(arguments[1:]), f"invocation {arguments[0]} ended with {actual}"
+        elif what == "held":  # expect held OP COUNT: at least so many were throttled or terminated (0: none)
+            actual = sum(
+                1
+                for act in acts
+                if act[0] in ("throttle", "terminate") and (act[1] - 1) % 3 == NAMES.index(arguments[0])
+            )
+            assert actual >= int(arguments[1]) and (actual == 0 or int(arguments[1])), (
+                f"{actual} of {arguments[0]} were throttled or terminated"
             )
-            assert got >= int(p[1]) and (got == 0 or int(p[1])), f"{got} of {p[0]} held off"
-        elif what == "coldest":  # expect coldest MOST: dispatches at the server that refused
+        elif what == "coldest":  # expect coldest MOST: dispatches at the server that refused the first one
             first = self.dispatches(1)[0][2]
-            got = sum(1 for a in self.dispatches() if a[2] == first)
-            assert got <= int(p[0]), f"{got} at {first}"
+            actual = sum(1 for act in self.dispatches() if act[2] == first)
+            assert actual <= int(arguments[0]), f"{actual} dispatches at {first}"
         elif what == "at":  # expect at SERVER LEAST MOST
-            got = sum(1 for a in self.dispatches() if a[2] == p[0])
-            assert int(p[1]) <= got <= int(p[2]), f"{got} at {p[0]}"
+            actual = sum(1 for act in self.dispatches() if act[2] == arguments[0])
+            assert int(arguments[1]) <= actual <= int(arguments[2]), f"{actual} dispatches at {arguments[0]}"
         else:
             raise ValueError(what)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,3 +1,5 @@
+"""Runs the scenario files, and checks the statistics of the verdict and the errors of the line protocol."""
+
 import json
 from math import isclose, log, sqrt
 from pathlib import Path
@@ -14,20 +16,24 @@
 
 
 def facts(words):
-    read = {"True": True, "False": False}
-    return {k: read[v] if v in read else float(v) for k, v in (w.split("=") for w in words)}
+    """The settings `NAME=VALUE` of a scenario, each a boolean or a number."""
+    booleans = {"True": True, "False": False}
+    return {
+        name: booleans[value] if value in booleans else float(value)
+        for name, value in (word.split("=") for word in words)
+    }
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda p: p.stem)
 def test_scenario(path):
-    lines = [x.split("#")[0].strip() for x in path.read_text().splitlines()]
-    lines = [x for x in lines if x]
-    head = lines.pop(0).split()[1:] if lines[0].startswith("set ") else []
-    stage = Stage(facts(head))
+    lines = [line.split("#")[0].strip() for line in path.read_text().splitlines()]
+    lines = [line for line in lines if line]
+    settings = lines.pop(0).split()[1:] if lines[0].startswith("set ") else []
+    stage = Stage(facts(settings))
     for line in lines:
         stage.play(line)
-    ends = [a[1] for a in stage.out.acts if a[0] in ("throttle", "terminate")]
-    assert len(ends) == len(set(ends)), "an invocation got two final answers"
+    ended = [act[1] for act in stage.out.acts if act[0] in ("throttle", "terminate")]
+    assert len(ended) == len(set(ended)), "an invocation got two final answers"
 
 
 @pytest.fixture
@@ -38,55 +44,58 @@
 def test_jackknife_against_hand_figures(judge):
     # Ten groups of two, one bad outcome in each of the first two: leaving one of those out gives 1/18, any
     # other 2/18, about a mean of 0.1.
-    kept = [(g, g < 2 and half == 0, 1) for g in range(10) for half in (0, 1)]
-    n, mean, v = judge.spread(kept)
-    jack = 0.9 * (2 * (1 / 18 - 0.1) ** 2 + 8 * (2 / 18 - 0.1) ** 2)
-    guess = 3 / 22
-    assert (n, mean) == (20, 0.1) and isclose(v, max(jack, guess * (1 - guess) / 20))
-    # Bad outcomes heaped in one group: here the jackknife is the larger.
-    heaped = [(g, g == 0, 1) for g in range(10) for _ in (0, 1)]
-    assert isclose(judge.spread(heaped)[2], 0.9 * ((0 - 0.1) ** 2 + 9 * (2 / 18 - 0.1) ** 2))
+    outcomes = [(group, group < 2 and half == 0, 1) for group in range(10) for half in (0, 1)]
+    size, mean, variance = judge.spread(outcomes)
+    jackknife = 0.9 * (2 * (1 / 18 - 0.1) ** 2 + 8 * (2 / 18 - 0.1) ** 2)
+    rate = 3 / 22
+    assert (size, mean) == (20, 0.1) and isclose(variance, max(jackknife, rate * (1 - rate) / 20))
+    # With all bad outcomes in one group the jackknife variance is the larger one.
+    clustered = [(group, group == 0, 1) for group in range(10) for _ in (0, 1)]
+    assert isclose(judge.spread(clustered)[2], 0.9 * ((0 - 0.1) ** 2 + 9 * (2 / 18 - 0.1) ** 2))
 
 
 def test_interval_against_the_paper(judge):
-    alpha, v = 0.05 / (2 * 3), 0.004
-    tau = NormalDist().inv_cdf(1 - alpha / 2) ** 2 * v
-    half = sqrt(v * (v + tau) / tau * (-2 * log(alpha) - log(v / (v + tau))))
-    assert isclose(judge.own_width * sqrt(v), half)
+    alpha, variance = 0.05 / (2 * 3), 0.004
+    tau = NormalDist().inv_cdf(1 - alpha / 2) ** 2 * variance
+    half_width = sqrt(
+        variance * (variance + tau) / tau * (-2 * log(alpha) - log(variance / (variance + tau)))
+    )
+    assert isclose(judge.own_width * sqrt(variance), half_width)
 
 
 def test_no_failures_leave_some_variance(judge):
-    clean = [(g, False, 1) for g in range(10) for _ in (0, 1)]
+    good = [(group, False, 1) for group in range(10) for _ in (0, 1)]
     judge.width = judge.own_width
-    n, difference, low = judge.compare(clean, clean)[:3]
-    assert judge.spread(clean)[2] > 0 and difference < 0 and -1 < low < 0
+    size, difference, low = judge.compare(good, good)[:3]
+    assert judge.spread(good)[2] > 0 and difference < 0 and -1 < low < 0
 
 
-def test_failure_at_once_is_no_quick_answer():
+def test_immediate_failure_does_not_count_as_a_fast_answer():
     stage = Stage({})
     for line in ("server a", "take 1 look", "answer 1 error 2"):
         stage.play(line)
-    pace, failing = stage.balancer.servers["a"].health(stage.now, 500.0)
-    assert pace >= 500.0 and failing > 0
+    pace, failure_rate = stage.balancer.servers["a"].health(stage.now, 500.0)
+    assert pace >= 500.0 and failure_rate > 0
 
 
-def test_portions_change_while_counts_stay():
+def test_new_portions_apply_to_the_arrivals_already_counted():
     from gannetfront.balance import Invocation
 
     stage = Stage({"tenants": ((0.5, 0.0), (0.5, 0.0)), "over_share_value": 0.1})
     for line in ("server a", "take 30 look"):
         stage.play(line)
-    one = stage.balancer
-    one.limit, mine = 31.0, Invocation(0, 1, None, one.now, one.now + 1000)
-    assert not one.crowded(mine)  # what came is over its portion and worth less: it gives way
-    before = dict(one.arrivals.counts)
+    balancer = stage.balancer
+    balancer.limit, invocation = 31.0, Invocation(0, 1, None, balancer.now, balancer.now + 1000)
+    # The arrivals are over their tenant's portion and worth less: they give way to this invocation.
+    assert not balancer.crowded(invocation)
+    before = dict(balancer.arrivals.counts)
     stage.queue.append(("tenants_listed", ((1.0, 0.0), (0.5, 0.0))))
     stage.flush()
-    assert one.crowded(mine) and one.arrivals.counts == before
+    assert balancer.crowded(invocation) and balancer.arrivals.counts == before
 
 
 @pytest.mark.parametrize(
-    "lines, said",
+    "lines, error",
     [
         ((), "begins with round"),
         (("round now",), "begins with round"),
@@ -99,15 +108,15 @@
         (("reply 7 9.0 nobody:1 0 0 100 -",), "round of proxy/1 at 1.000 .outcome.: KeyError 'nobody:1'"),
     ],
 )
-def test_a_line_that_cannot_be_read_is_named(lines, said):
+def test_unreadable_line_is_reported(lines, error):
     link = Link()
     link.batch(["round 1.0", "on proxy/1", f"start 5 {json.dumps(SETTINGS)}"])
     lines = ["round 1.0", "on proxy/1", *lines] if lines and "round" not in lines[0] else list(lines)
-    with pytest.raises(codec.BadLine, match=said):
+    with pytest.raises(codec.BadLine, match=error):
         link.batch(lines)
 
 
-def test_what_is_unknown_or_told_twice_is_skipped_or_the_last_holds():
+def test_unknown_events_are_skipped_and_the_last_duplicate_entry_wins():
     link = Link()
     link.batch(
         [
@@ -121,7 +130,7 @@
             "announce 0 1 snapshot",
         ]
     )
-    assert [s.state for s in link.balancers["proxy/1"].servers.values()] == ["draining", "gone"]
+    assert [server.state for server in link.balancers["proxy/1"].servers.values()] == ["draining", "gone"]
     assert link.batch(["round 2.0", "on proxy/1", "sneezed 4", "inbound 7 - 0 - 0 0 900.0"]) == [
         "at proxy/1",
         "log unknown event sneezed",
