--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -48,7 +48,7 @@
 SWEEP_PERIOD_MS = 100.0
 
 
-def come_back(longest, slo_time, random):
+def retry_delay(longest, slo_time, random):
     """Retry delay in ms for a throttled client, randomised so that clients do not retry at the same time.
 
     `longest` is the longest delay that clients honour; `random` is uniform in [0, 1).
@@ -681,7 +681,9 @@
             or operation.effect == IDEMPOTENT
             or (operation.effect == FINGERPRINTED and operation.group == "all")
         ):
-            self.out.throttle(invocation_id, come_back(self.retry_advice, operation.slo_time, self.random()))
+            self.out.throttle(
+                invocation_id, retry_delay(self.retry_advice, operation.slo_time, self.random())
+            )
         else:
             self.out.terminate(invocation_id)
         self.client_gone(invocation_id)
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -1,7 +1,7 @@
 """The proxy on the users' platform, assembled: clients' side, rounds, pools, discovery, release API, peers; its life."""
 
 from .. import host
-from ..balance import Balancer, come_back
+from ..balance import Balancer, retry_delay
 from ..interface import SUCCEEDED
 from ..proxy.pools import Pools
 from ..proxy.rounds import Rounds
@@ -37,7 +37,7 @@
         )
         self.rounds.refill, self.rounds.build_of = self.refill, lambda name: self.discovery.build(name)
         jitter = host.Jitter(start.seed + 1)
-        self.rounds.know(start.facts, come_back, jitter)
+        self.rounds.know(start.facts, retry_delay, jitter)
         self.discovery = Discovery(
             start.discovery,
             start.listing,
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -4,7 +4,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from .. import host
-from ..balance import Balancer, come_back
+from ..balance import Balancer, retry_delay
 from ..config import load
 from ..interface import CANCELLED, MOOT, SIDE_EFFECTING, SUCCEEDED
 from ..keptfile import KeptFile
@@ -40,7 +40,7 @@
             invocation,
         )
         self.rounds.refill = self.refill
-        self.rounds.know(facts, come_back, host.chance(mine.seed, 5))
+        self.rounds.know(facts, retry_delay, host.chance(mine.seed, 5))
         self.rounds.build_of = lambda addr: self.kept.nodes[addr][0][2] if addr in self.kept.nodes else 0
         self.warm_within = facts.warm_within
         self.ops = [o.name for o in fleet.operation]
