--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -170,7 +170,7 @@
             deployment.dispatch_cap,
         )
         # A cold server is planned for half of the load at which it fails, but for no less than the fair share
-        # of its ramp, which cold_room() grants.
+        # of its ramp, which has_cold_capacity() grants.
         self.home_zone, self.cold_load_factor = (
             self.zone if self.cross_zone_price else None,
             max(1.0, deployment.fall_multiple / 2),
@@ -392,7 +392,7 @@
         newest = self.stage_known and build == self.ver and self.phase != RELEASED
         return newest or build > (self.ver if self.stage_known else self.earliest_build)
 
-    def cold(self, server):
+    def is_cold(self, server):
         """Whether the server started less than the warm-up time ago."""
         return server.since and self.now - server.since < self.warm_within
 
@@ -429,7 +429,7 @@
         # Only warm trial servers take the extra load, each no more than it will once all of the build runs;
         # cold servers keep to their ramp.
         warm, total = (
-            sum(server.weight for _, server in new.picks if not self.cold(server)),
+            sum(server.weight for _, server in new.picks if not self.is_cold(server)),
             old.total_weight + new.total_weight or 1.0,
         )
         extra = (
@@ -445,7 +445,7 @@
             / self.ready_weight
         )
         self.pools_due = (
-            self.now + 4 * SWEEP_PERIOD_MS if any(self.cold(server) for _, server in ready) else 1e18
+            self.now + 4 * SWEEP_PERIOD_MS if any(self.is_cold(server) for _, server in ready) else 1e18
         )
 
     def weights(self, candidates):
@@ -479,7 +479,7 @@
         medians = [x[len(x) // 2] if len(x) > 2 else 1e18 for x in times]
         return 1e18 > medians[operation] > min(medians) + 0.6 * self.ops[operation].slo_time
 
-    def choose(self, pool, operation, invocation):
+    def choose_server(self, pool, operation, invocation):
         """Returns the best of two servers sampled by weight, or None.
 
         Where crossing zones is priced, two more are sampled from the home zone. If none of them is allowed,
@@ -504,7 +504,7 @@
                 rest.picks,
                 min(usable_share, self.cold_load_factor * rest.total_weight / self.ready_weight),
             )
-            if candidates and self.cold(
+            if candidates and self.is_cold(
                 min(candidates, key=lambda candidate: self.expected_loss(candidate[1], operation))[1]
             ):
                 candidates = sample(rest.samples)
@@ -515,10 +515,10 @@
         if (
             self.many_balancers
             and usable_share < 1
-            and any(self.cold(server) for _, server in candidates)
+            and any(self.is_cold(server) for _, server in candidates)
             and self.random() > usable_share
         ):
-            warm = lambda some: [candidate for candidate in some if not self.cold(candidate[1])]
+            warm = lambda some: [candidate for candidate in some if not self.is_cold(candidate[1])]
             rest = (
                 ()
                 if warm(candidates)
@@ -542,19 +542,19 @@
         # A tenth of a throttled operation is still sent, to detect its recovery.
         refused = self.crowded(invocation) or self.is_stuck(operation) and self.random() > 0.1
         if refused or not self.propose(invocation_id, invocation, self.random() < self.trial_share):
-            self.give_up(invocation_id, invocation)
+            self.reject(invocation_id, invocation)
 
     def propose(self, invocation_id, invocation, trial):
         """Dispatches to a server of the preferred pool or else of the other one; returns whether it did."""
-        for pool in (self.pools[::-1] if trial else self.pools) if self.may_go(invocation) else ():
-            pick = self.choose(pool, self.ops[invocation.op], invocation)
+        for pool in (self.pools[::-1] if trial else self.pools) if self.may_dispatch(invocation) else ():
+            pick = self.choose_server(pool, self.ops[invocation.op], invocation)
             if pick:
                 return self.send(invocation_id, invocation, *pick)
         return False
 
     # ---- rules that every dispatch must meet ----
 
-    def may_go(self, invocation):
+    def may_dispatch(self, invocation):
         """Whether the invocation may have another dispatch now, at any server."""
         operation, ran = (
             self.ops[invocation.op],
@@ -594,13 +594,13 @@
         ):
             return False
         if self.on_trial(server.build):
-            return self.exposed(server.build, invocation.op) and self.cold_room(server)
+            return self.within_exposure_cap(server.build, invocation.op) and self.has_cold_capacity(server)
         bound = self.no_return and self.phase in (TRIAL, RELEASED) and invocation.key is not None
-        return not (bound and self.answered_by.get(invocation.key, -1) > server.build) and self.cold_room(
-            server
-        )
+        return not (
+            bound and self.answered_by.get(invocation.key, -1) > server.build
+        ) and self.has_cold_capacity(server)
 
-    def exposed(self, build, operation):
+    def within_exposure_cap(self, build, operation):
         """Whether the exposure cap allows one more dispatch of the operation to a build on trial."""
         stage, cap = (self.stage, self.cap) if self.stage_known and build == self.ver else (0, self.first_cap)
         if cap <= 0 or (stage < self.guarded_stages and self.ops[operation].effect != IDEMPOTENT):
@@ -611,12 +611,12 @@
             count(dispatched.trim(self.now)) if dispatched else 0
         ) + 1 <= self.free_dispatches + cap * count(accepted)
 
-    def cold_room(self, server):
+    def has_cold_capacity(self, server):
         """Whether a cold server may get one more dispatch.
 
         What overloads a cold server is the sum over all proxies: each keeps to its fair share of the ramp.
         """
-        if not self.cold(server):
+        if not self.is_cold(server):
             return True
         fair_rate = self.arrival_rate * server.weight / self.ready_weight * self.warm_fraction(server)
         recent = sum(at > self.now - self.overload_for for at in server.sent)
@@ -625,7 +625,7 @@
     def send(self, invocation_id, invocation, address, server):
         """Dispatches if the rules above allow it; every dispatch passes here. Returns whether it was sent."""
         operation = self.ops[invocation.op]
-        if not (self.may_go(invocation) and self.admits(invocation, server)):
+        if not (self.may_dispatch(invocation) and self.admits(invocation, server)):
             return False
         invocation.tries.append([address, server.zone, server.cell, self.now, None, server.build])
         self.record_dispatch(invocation_id, len(invocation.tries) - 1, invocation, server)
@@ -640,7 +640,7 @@
 
     def record_dispatch(self, invocation_id, seq, invocation, server):
         server.flying[invocation_id, seq] = self.now
-        if self.cold(server):
+        if self.is_cold(server):
             server.sent = server.sent[-199:] + [self.now]
         if self.on_trial(server.build):
             self.at_trial.setdefault(server.build, Window(self.exposure_span)).add(self.now, invocation.op)
@@ -664,13 +664,13 @@
         if server.build in self.at_trial:
             self.at_trial[server.build].remove(before, invocation.op)
         tries, invocation.tries = invocation.tries, invocation.tries[:seq] + invocation.tries[seq + 1 :]
-        allowed, invocation.tries = self.may_go(invocation) and self.admits(invocation, server), tries
+        allowed, invocation.tries = self.may_dispatch(invocation) and self.admits(invocation, server), tries
         if allowed:
             tried[3] = now
             self.record_dispatch(invocation_id, seq, invocation, server)
         return allowed
 
-    def give_up(self, invocation_id, invocation):
+    def reject(self, invocation_id, invocation):
         """Answers at once instead of queueing: throttled where a retry is harmless, otherwise terminated."""
         operation, ran = (
             self.ops[invocation.op],
@@ -739,7 +739,7 @@
                 not operation.late_value and self.now >= invocation.accepted_at + 0.9 * operation.slo_time
             )
             if worthless or not self.propose(invocation_id, invocation, False):
-                self.give_up(invocation_id, invocation)
+                self.reject(invocation_id, invocation)
 
     def record_outcome(self, address, server, operation, unit, status, took):
         """Stores an outcome as evidence on its build and queues it for the judges.
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -369,15 +369,15 @@
     None: "",
     "answered": "from gannetfront.proxy.clients import Clients as C; w = C.wait\n"
     "C.wait = lambda self, stream, reader, held, margin: w(self, stream, reader, held, 4000.0)\n"
-    "B.sweep = lambda self: None; B.give_up = lambda self, ident, inv: None",
-    "effects": "B.may_go = lambda self, inv: len(inv.tries) < 4",
+    "B.sweep = lambda self: None; B.reject = lambda self, ident, inv: None",
+    "effects": "B.may_dispatch = lambda self, inv: len(inv.tries) < 4",
     "drains": "S = balance.Server; i = S.__init__\n"
     "def f(self, e):\n    i(self, e); self.state = 'ready' if self.state == 'draining' else self.state\n"
     "S.__init__ = f",
-    "cold": "B.cold_room = lambda self, server: True; "
-    "B.choose = lambda self, pool, op, inv: max(pool.picks, key=lambda p: p[1].since, default=None)",
+    "cold": "B.has_cold_capacity = lambda self, server: True; "
+    "B.choose_server = lambda self, pool, op, inv: max(pool.picks, key=lambda p: p[1].since, default=None)",
     # What bounds cold servers would keep a young trial within its cap by itself.
-    "exposure": "B.exposed = lambda self, build, op: True; B.cold = lambda self, server: False",
+    "exposure": "B.within_exposure_cap = lambda self, build, op: True; B.is_cold = lambda self, server: False",
 }
 
 
