--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -62,23 +62,27 @@
     Uses slots and lists that start empty, because thousands of proxies each hold a thousand servers.
     """
 
-    __slots__ = "zone build kind cell state weight started_at flying load recent sent since".split()
+    __slots__ = (
+        "zone build kind cell state weight started_at "
+        "in_flight load recent_outcomes recent_dispatches last_start"
+    ).split()
 
     def __init__(self, entry, no_load={}):
         _, self.zone, self.build, self.kind, self.cell, self.state, self.weight, self.started_at = entry
-        self.flying, self.load = {}, no_load  # (invocation id, sequence number) -> time sent
-        self.recent = []  # last 16 of (time, time taken or None, failed)
-        self.sent, self.since = [], self.started_at  # times of the last 200 dispatches while cold; last start
+        self.in_flight, self.load = {}, no_load  # (invocation id, sequence number) -> time sent
+        self.recent_outcomes = []  # last 16 of (time, time taken or None, failed)
+        # Times of the last 200 dispatches while cold; last start, known from the list or a refused connection.
+        self.recent_dispatches, self.last_start = [], self.started_at
 
     def health(self, now, typical_time, failure_rate=0.0):
         """Returns (expected time taken in ms, expected failure rate), smoothed by two typical outcomes."""
         oldest, times, timed, failures, outcomes = now - SAMPLE_LIFETIME_MS, 0.0, 0, 0, 0
-        for at, took, failed in self.recent:
+        for at, took, failed in self.recent_outcomes:
             if at > oldest:
                 outcomes, failures = outcomes + 1, failures + failed
                 if took:
                     times, timed = times + took, timed + 1
-        for sent_at in self.flying.values():  # oldest first
+        for sent_at in self.in_flight.values():  # oldest first
             if now - sent_at <= 2 * typical_time:
                 break
             times, timed = times + now - sent_at, timed + 1
@@ -88,17 +92,17 @@
 class Pool:
     """Ready servers of released builds or on trial, with cumulative weights for sampling by bisection."""
 
-    def __init__(self, picks, weigh, home_zone):
-        home = [candidate for candidate in picks if candidate[1].zone == home_zone]
-        self.picks, self.samples = (
-            picks,
+    def __init__(self, candidates, weigh, home_zone):
+        home = [candidate for candidate in candidates if candidate[1].zone == home_zone]
+        self.candidates, self.samples = (
+            candidates,
             [
                 (subset, list(accumulate(weigh(subset))))
-                for subset in (picks, home if len(home) < len(picks) else [])
+                for subset in (candidates, home if len(home) < len(candidates) else [])
                 if subset
             ],
         )
-        self.total_weight = self.samples[0][1][-1] if picks else 0.0
+        self.total_weight = self.samples[0][1][-1] if candidates else 0.0
         # Share of the weight that is in the home zone.
         self.home_share = self.samples[1][1][-1] / self.total_weight if len(self.samples) > 1 else 1.0
 
@@ -110,23 +114,23 @@
     """
 
     def __init__(self, span, maximum=None):
-        self.span, self.maximum, self.kept, self.counts = span, maximum, deque(), Counter()
+        self.span, self.maximum, self.entries, self.counts = span, maximum, deque(), Counter()
 
     def add(self, now, item):
-        if len(self.kept) == self.maximum:
-            self.counts[self.kept.popleft()[1]] -= 1
-        self.kept.append((now, item))
+        if len(self.entries) == self.maximum:
+            self.counts[self.entries.popleft()[1]] -= 1
+        self.entries.append((now, item))
         self.counts[item] += 1
 
     def trim(self, now):
         """Removes the items that are older than the span; returns the window."""
-        while self.kept and self.kept[0][0] <= now - self.span:
-            self.counts[self.kept.popleft()[1]] -= 1
+        while self.entries and self.entries[0][0] <= now - self.span:
+            self.counts[self.entries.popleft()[1]] -= 1
         return self
 
     def remove(self, at, item):
-        if (at, item) in self.kept:
-            self.kept.remove((at, item))
+        if (at, item) in self.entries:
+            self.entries.remove((at, item))
             self.counts[item] -= 1
 
 
@@ -247,7 +251,7 @@
         self.servers, self.invs, self.pools = {}, {}, (Pool([], None, 0),) * 2
         self.ver, self.stage, self.cap, self.phase, self.stage_known = None, 0, 0.0, None, False
         # build -> operations dispatched to it, a Window like `accepted`; key -> newest build that answered it
-        self.at_trial, self.answered_by = {}, {}
+        self.trial_dispatches, self.answered_by = {}, {}
         # answers: (time sent, time taken / SLO time); timely: times of the answers within the SLO time
         self.arrivals, self.answers, self.timely = (
             Window(COUNTING_SPAN_MS, 1000),
@@ -304,9 +308,14 @@
             old, new = self.servers.get(entry[0]), Server(entry)
             self.servers[entry[0]] = new
             if old:
-                new.flying = old.flying
+                new.in_flight = old.in_flight
                 if (old.build, old.started_at) == (new.build, new.started_at):
-                    new.recent, new.sent, new.load, new.since = old.recent, old.sent, old.load, old.since
+                    new.recent_outcomes, new.recent_dispatches, new.load, new.last_start = (
+                        old.recent_outcomes,
+                        old.recent_dispatches,
+                        old.load,
+                        old.last_start,
+                    )
             if new.state == READY:
                 self.newest_start[new.build] = max(
                     self.newest_start.get(new.build, new.started_at), new.started_at
@@ -394,11 +403,11 @@
 
     def is_cold(self, server):
         """Whether the server started less than the warm-up time ago."""
-        return server.since and self.now - server.since < self.warm_within
+        return server.last_start and self.now - server.last_start < self.warm_within
 
     def warm_fraction(self, server):
         """The fraction of its full load that a server takes: grows linearly from the cold share to 1."""
-        age = self.now - server.since if server.since else self.warm_within
+        age = self.now - server.last_start if server.last_start else self.warm_within
         return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, age) / max(1.0, self.warm_within))
 
     def update_pools(self):
@@ -429,7 +438,7 @@
         # Only warm trial servers take the extra load, each no more than it will once all of the build runs;
         # cold servers keep to their ramp.
         warm, total = (
-            sum(server.weight for _, server in new.picks if not self.is_cold(server)),
+            sum(server.weight for _, server in new.candidates if not self.is_cold(server)),
             old.total_weight + new.total_weight or 1.0,
         )
         extra = (
@@ -450,7 +459,8 @@
 
     def weights(self, candidates):
         return [
-            server.weight * (self.warm_fraction(server) if server.since else 1.0) for _, server in candidates
+            server.weight * (self.warm_fraction(server) if server.last_start else 1.0)
+            for _, server in candidates
         ]
 
     def expected_loss(self, server, operation):
@@ -460,7 +470,7 @@
         """
         typical = self.typical_time or 0.15 * operation.slo_time
         pace, failure_rate = server.health(self.now, *self.zone_health.get(server.zone, (typical, 0.0)))
-        pace += typical * (0.4 * len(server.flying) + 0.33 * server.load.get("queue", 0.0))
+        pace += typical * (0.4 * len(server.in_flight) + 0.33 * server.load.get("queue", 0.0))
         late = exp(-operation.slo_time / pace)
         crossing = 0.5 * self.cross_zone_price * (server.zone != self.zone)
         return failure_rate + (1 - failure_rate) * late + 0.05 * pace / operation.slo_time + crossing
@@ -498,10 +508,12 @@
         )
         if not candidates:
             rest = Pool(
-                [candidate for candidate in pool.picks if is_allowed(candidate)], self.weights, self.home_zone
+                [candidate for candidate in pool.candidates if is_allowed(candidate)],
+                self.weights,
+                self.home_zone,
             )
             candidates, usable_share = (
-                rest.picks,
+                rest.candidates,
                 min(usable_share, self.cold_load_factor * rest.total_weight / self.ready_weight),
             )
             if candidates and self.is_cold(
@@ -522,7 +534,7 @@
             rest = (
                 ()
                 if warm(candidates)
-                else [candidate for candidate in warm(pool.picks) if is_allowed(candidate)]
+                else [candidate for candidate in warm(pool.candidates) if is_allowed(candidate)]
             )
             candidates = warm(candidates) or sample(Pool(rest, self.weights, self.home_zone).samples)
         return (
@@ -579,9 +591,9 @@
         # An unresponsive server still accepts dispatches and will work through the backlog when it resumes,
         # for clients that have left. It gets one dispatch at a time until it answers one.
         unresponsive = (
-            server.flying
-            and len(server.recent) > 2
-            and all(failed and took for _, took, failed in server.recent[-3:])
+            server.in_flight
+            and len(server.recent_outcomes) > 2
+            and all(failed and took for _, took, failed in server.recent_outcomes[-3:])
         )
         if (
             server.state != READY
@@ -605,8 +617,8 @@
         stage, cap = (self.stage, self.cap) if self.stage_known and build == self.ver else (0, self.first_cap)
         if cap <= 0 or (stage < self.guarded_stages and self.ops[operation].effect != IDEMPOTENT):
             return False
-        dispatched, accepted = self.at_trial.get(build), self.accepted.trim(self.now)
-        count = lambda window: window.counts[operation] if self.by_operation else len(window.kept)
+        dispatched, accepted = self.trial_dispatches.get(build), self.accepted.trim(self.now)
+        count = lambda window: window.counts[operation] if self.by_operation else len(window.entries)
         return (
             count(dispatched.trim(self.now)) if dispatched else 0
         ) + 1 <= self.free_dispatches + cap * count(accepted)
@@ -619,7 +631,7 @@
         if not self.is_cold(server):
             return True
         fair_rate = self.arrival_rate * server.weight / self.ready_weight * self.warm_fraction(server)
-        recent = sum(at > self.now - self.overload_for for at in server.sent)
+        recent = sum(at > self.now - self.overload_for for at in server.recent_dispatches)
         return recent + 1 <= max(1.0, fair_rate * self.overload_for)
 
     def send(self, invocation_id, invocation, address, server):
@@ -639,11 +651,13 @@
         return True
 
     def record_dispatch(self, invocation_id, seq, invocation, server):
-        server.flying[invocation_id, seq] = self.now
+        server.in_flight[invocation_id, seq] = self.now
         if self.is_cold(server):
-            server.sent = server.sent[-199:] + [self.now]
+            server.recent_dispatches = server.recent_dispatches[-199:] + [self.now]
         if self.on_trial(server.build):
-            self.at_trial.setdefault(server.build, Window(self.exposure_span)).add(self.now, invocation.op)
+            self.trial_dispatches.setdefault(server.build, Window(self.exposure_span)).add(
+                self.now, invocation.op
+            )
 
     def stands(self, now, invocation_id, seq):
         """Whether a dispatch that waited for a disk or a connection may still be sent.
@@ -658,11 +672,11 @@
         self.now, before = now, tried[3]
         # The dispatch is first taken out of the counts: those that one disk releases together must not be
         # counted together in a window.
-        server.flying.pop((invocation_id, seq), None)
-        if before in server.sent:
-            server.sent.remove(before)
-        if server.build in self.at_trial:
-            self.at_trial[server.build].remove(before, invocation.op)
+        server.in_flight.pop((invocation_id, seq), None)
+        if before in server.recent_dispatches:
+            server.recent_dispatches.remove(before)
+        if server.build in self.trial_dispatches:
+            self.trial_dispatches[server.build].remove(before, invocation.op)
         tries, invocation.tries = invocation.tries, invocation.tries[:seq] + invocation.tries[seq + 1 :]
         allowed, invocation.tries = self.may_dispatch(invocation) and self.admits(invocation, server), tries
         if allowed:
@@ -699,7 +713,7 @@
         """The end of a dispatch. `closed` means that the client has its answer; else it may be retried."""
         # A server that was listed once stays in self.servers.
         server, invocation = self.servers[address], self.invs.get(invocation_id)
-        sent_at, server.load = server.flying.pop((invocation_id, seq), None), load or server.load
+        sent_at, server.load = server.in_flight.pop((invocation_id, seq), None), load or server.load
         if invocation is None:
             return
         self.update_pools()
@@ -707,10 +721,13 @@
         tried[4] = status
         if server.build == tried[5] and sent_at is not None and status not in (MOOT, CANCELLED):
             if status == UNCONNECTED:  # its process has ended; the next one at this address starts cold
-                server.since, self.pools_due = self.now, min(self.pools_due, self.now + 4 * SWEEP_PERIOD_MS)
+                server.last_start, self.pools_due = (
+                    self.now,
+                    min(self.pools_due, self.now + 4 * SWEEP_PERIOD_MS),
+                )
             # The time of an immediate failure is not counted: it must not attract more dispatches.
             took = time_taken if status in (SUCCEEDED, TIMEOUT) else None
-            server.recent = server.recent[-15:] + [(self.now, took, status != SUCCEEDED)]
+            server.recent_outcomes = server.recent_outcomes[-15:] + [(self.now, took, status != SUCCEEDED)]
             self.outcomes.append((self.now, took, server.zone, status != SUCCEEDED))
             if status in (SUCCEEDED, TIMEOUT):
                 self.times_taken[invocation.op].append((self.now, time_taken))
@@ -773,12 +790,12 @@
 
     def sweep(self):
         """Periodic work: time-outs, statistics, rescue of stuck attempts, the limit on load, the verdict."""
-        for window in (self.accepted, *self.at_trial.values(), self.arrivals):
+        for window in (self.accepted, *self.trial_dispatches.values(), self.arrivals):
             window.trim(self.now)
         while self.answers and self.answers[0][0] < self.now - 4 * self.mean_slo_time:
             self.answers.popleft()
-        span = self.now - self.arrivals.kept[0][0] if self.arrivals.kept else 0.0
-        self.arrival_rate = len(self.arrivals.kept) / max(span, 1000.0)
+        span = self.now - self.arrivals.entries[0][0] if self.arrivals.entries else 0.0
+        self.arrival_rate = len(self.arrivals.entries) / max(span, 1000.0)
         if self.invs:
             self.update_pools()
         for invocation_id in [i for i, invocation in self.invs.items() if self.now >= invocation.deadline]:
@@ -875,7 +892,7 @@
         """
         if len(self.invs) + 1 <= 0.6 * self.limit:
             return False
-        arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.kept), Counter()
+        arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.entries), Counter()
         for (_, tenant), count in arrived.items():
             by_tenant[tenant] += count
         over_share = {
@@ -1034,7 +1051,7 @@
             sum(start < at - self.now <= start + COUNTING_SPAN_MS for at in self.timely)
             for start in (-2 * COUNTING_SPAN_MS, -COUNTING_SPAN_MS)
         )
-        return max(first, last) < 0.4 * self.timely_before_release and last < 0.3 * len(self.arrivals.kept)
+        return max(first, last) < 0.4 * self.timely_before_release and last < 0.3 * len(self.arrivals.entries)
 
     def judge(self):
         """Votes to roll back or to promote the newest build, if a vote is due and the evidence suffices."""
@@ -1090,7 +1107,9 @@
                 and self.now >= build_up_at + SETTLE_MS
             ):
                 self.update_pools()
-                verdict = ON if self.pools[1].picks and self.random() < self.promote_probability else None
+                verdict = (
+                    ON if self.pools[1].candidates and self.random() < self.promote_probability else None
+                )
         self.vote_due = self.now + (2 if self.invs else 10) * SWEEP_PERIOD_MS
         if verdict:
             if (
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -375,7 +375,7 @@
     "def f(self, e):\n    i(self, e); self.state = 'ready' if self.state == 'draining' else self.state\n"
     "S.__init__ = f",
     "cold": "B.has_cold_capacity = lambda self, server: True; "
-    "B.choose_server = lambda self, pool, op, inv: max(pool.picks, key=lambda p: p[1].since, default=None)",
+    "B.choose_server = lambda self, pool, op, inv: max(pool.candidates, key=lambda p: p[1].last_start, default=None)",
     # What bounds cold servers would keep a young trial within its cap by itself.
     "exposure": "B.within_exposure_cap = lambda self, build, op: True; B.is_cold = lambda self, server: False",
 }
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -229,7 +229,9 @@
     went = [one for one in sent if stage.balancer.stands(stage.now, one, 0)]
     assert 1 <= len(went) < len(sent)
     server = stage.balancer.servers["s"]
-    assert len(server.flying) == len(went) and sum(t == stage.now for t in server.sent) == len(went)
+    assert len(server.in_flight) == len(went) and sum(
+        t == stage.now for t in server.recent_dispatches
+    ) == len(went)
 
 
 def test_asked_again_with_nothing_changed_it_stands_and_counts_once():
@@ -241,7 +243,7 @@
     stage.flush()
 
     def count():
-        return {build: len(made.kept) for build, made in stage.balancer.at_trial.items()}
+        return {build: len(made.entries) for build, made in stage.balancer.trial_dispatches.items()}
 
     before = count()
     assert (
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -55,7 +55,7 @@
     stages = fleet(*listed(12, 90000), *listed(3, 2500, first=12))
     for stage in stages:
         for server in list(stage.balancer.servers.values())[:12]:
-            server.recent, server.flying = [(stage.now, 900.0, True)] * 3, {(0, 0): stage.now}
+            server.recent_outcomes, server.in_flight = [(stage.now, 900.0, True)] * 3, {(0, 0): stage.now}
     at, gave_up = sent(stages, 1)
     assert at.keys() == {"s12", "s13", "s14"} and max(at.values()) <= 45 and sum(at.values()) + gave_up == 200
 
