--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -71,7 +71,7 @@
         _, self.zone, self.build, self.kind, self.cell, self.state, self.weight, self.started_at = entry
         self.in_flight, self.load = {}, no_load  # (invocation id, sequence number) -> time sent
         self.recent_outcomes = []  # last 16 of (time, time taken or None, failed)
-        # Times of the last 200 dispatches while cold; last start, known from the list or a refused connection.
+        # Times of the last 200 dispatches while cold; last start, as listed or after a refused connection.
         self.recent_dispatches, self.last_start = [], self.started_at
 
     def health(self, now, typical_time, failure_rate=0.0):
@@ -135,25 +135,25 @@
 
 
 class Invocation:
-    """An invocation that has not been answered yet. `op` is the operation's index."""
+    """An invocation that has not been answered yet."""
 
-    def __init__(self, op, tenant, key, accepted_at, deadline):
-        self.op, self.tenant, self.key, self.accepted_at, self.deadline = (
-            op,
+    def __init__(self, operation_index, tenant, key, accepted_at, deadline):
+        self.operation_index, self.tenant, self.key, self.accepted_at, self.deadline = (
+            operation_index,
             tenant,
             key,
             accepted_at,
             deadline,
         )
-        self.tries = []  # [server id, zone, cell, time sent, status or None, build]
+        self.attempts = []  # [server id, zone, cell, time sent, status or None, build]
 
 
 class Balancer:
     """Decides for one proxy. Deterministic for a given seed, deployment and sequence of rounds."""
 
     def __init__(self, seed, deployment):
-        self.chance_state = seed & (2**64 - 1)
-        rollout, self.ops, self.zone, self.tick = (
+        self.random_state = seed & (2**64 - 1)
+        rollout, self.operations, self.zone, self.tick = (
             deployment.rollout,
             deployment.operations,
             deployment.zone,
@@ -196,7 +196,7 @@
         # of the interval of a Poisson rate). The mSPRT interval has tau = z2 * V: a factor times the square
         # root of V.
         operation_count, promote_votes, rollback_votes = (
-            len(self.ops),
+            len(self.operations),
             max(1, rollout.on_votes),
             max(1, rollout.back_votes),
         )
@@ -242,14 +242,14 @@
             for judge in range(min(JUDGE_COUNT, deployment.balancers))
             if deployment.may_signal and judge != deployment.me
         ]
-        self.mean_slo_time = sum(operation.slo_time for operation in self.ops) / operation_count
+        self.mean_slo_time = sum(operation.slo_time for operation in self.operations) / operation_count
         # So many that a cold server with one slot would be overloaded by a single dispatch from each.
         self.many_balancers = (
             deployment.balancers * 0.15 * self.mean_slo_time
             > self.cold_load_factor * self.cold_share * self.overload_for
         )
-        self.servers, self.invs, self.pools = {}, {}, (Pool([], None, 0),) * 2
-        self.ver, self.stage, self.cap, self.phase, self.stage_known = None, 0, 0.0, None, False
+        self.servers, self.invocations, self.pools = {}, {}, (Pool([], None, 0),) * 2
+        self.version, self.stage, self.cap, self.phase, self.stage_known = None, 0, 0.0, None, False
         # build -> operations dispatched to it, a Window like `accepted`; key -> newest build that answered it
         self.trial_dispatches, self.answered_by = {}, {}
         # answers: (time sent, time taken / SLO time); timely: times of the answers within the SLO time
@@ -260,7 +260,7 @@
         )
         # outcomes: (time, time taken or None, zone, failed); zone_health: zone -> (mean time, failure rate)
         self.outcomes, self.typical_time, self.zone_health = deque(maxlen=64), None, {}
-        self.times_taken = [deque(maxlen=6) for _ in self.ops]  # (time, mean time taken) by operation
+        self.times_taken = [deque(maxlen=6) for _ in self.operations]  # (time, mean time taken) by operation
         # Own outcomes and the platform's: (build, operation) -> deque of (time, group, status, time taken)
         self.observed, self.tallied = {}, {}
         self.proof, self.proof_stale, self.last_vote = None, False, None
@@ -286,15 +286,15 @@
             self.sweep()
             self.next_sweep_at = now + SWEEP_PERIOD_MS
         # One proxy of hundreds is mostly idle: it wakes only for open invocations or for a vote that is due.
-        wake = self.next_sweep_at if self.invs else max(self.next_sweep_at, self.vote_due)
-        if (self.invs or self.observed) and not now < self.wake_at <= wake:
+        wake = self.next_sweep_at if self.invocations else max(self.next_sweep_at, self.vote_due)
+        if (self.invocations or self.observed) and not now < self.wake_at <= wake:
             self.wake_at = wake
             out.timer(wake, "sweep")
 
     def random(self):
         """A uniform number in [0, 1) from a linear congruential generator."""
-        self.chance_state = (self.chance_state * 6364136223846793005 + 1442695040888963407) % 2**64
-        return (self.chance_state >> 33) / 2**31
+        self.random_state = (self.random_state * 6364136223846793005 + 1442695040888963407) % 2**64
+        return (self.random_state >> 33) / 2**31
 
     # ---- events from the platform and from other balancers ----
 
@@ -335,14 +335,14 @@
             return
         if answer and self.last_vote:
             self.vote_due = max(self.vote_due, self.voted_at + self.renew_vote_after)
-        if (phase, self.phase, version) == (RELEASED, TRIAL, self.ver):
+        if (phase, self.phase, version) == (RELEASED, TRIAL, self.version):
             self.released_at, self.timely_before_release = (
                 self.now,
                 sum(1 for at in self.timely if at > self.now - COUNTING_SPAN_MS),
             )
-        if (version, stage, phase) != (self.ver, self.stage, self.phase):
+        if (version, stage, phase) != (self.version, self.stage, self.phase):
             self.vote_due = self.stage_began_at = self.now
-        if version != self.ver:
+        if version != self.version:
             # A build is judged against the last two earlier ones. Build numbers may have gaps, and a long day
             # has more builds than need to be held.
             last = sorted({build for build, _ in (*self.observed, *self.tallied) if build < version})[-2:]
@@ -353,7 +353,7 @@
                     for source in (self.observed, self.tallied)
                 ),
             )
-        self.ver, self.stage, self.cap, self.phase, self.stage_known = version, stage, cap, phase, True
+        self.version, self.stage, self.cap, self.phase, self.stage_known = version, stage, cap, phase, True
         self.pools_due = 0.0
 
     def tenants_listed(self, tenants):
@@ -375,7 +375,7 @@
         self.tallied.setdefault((build, operation), deque(maxlen=400)).extend(
             [(*unit, ERROR, None)] * bad + [(*unit, None, None if young else took)] * (attempts - bad)
         )
-        self.proof_stale = self.proof_stale or build == self.ver
+        self.proof_stale = self.proof_stale or build == self.version
 
     def peer(self, sender, payload):
         """Outcomes that another balancer reported to this judge, three bytes each; see record_outcome()."""
@@ -398,8 +398,8 @@
 
     def on_trial(self, build):
         """Whether a build is not yet released; before the first stage is known, any but the earliest."""
-        newest = self.stage_known and build == self.ver and self.phase != RELEASED
-        return newest or build > (self.ver if self.stage_known else self.earliest_build)
+        newest = self.stage_known and build == self.version and self.phase != RELEASED
+        return newest or build > (self.version if self.stage_known else self.earliest_build)
 
     def is_cold(self, server):
         """Whether the server started less than the warm-up time ago."""
@@ -487,7 +487,7 @@
             for samples in self.times_taken
         ]
         medians = [x[len(x) // 2] if len(x) > 2 else 1e18 for x in times]
-        return 1e18 > medians[operation] > min(medians) + 0.6 * self.ops[operation].slo_time
+        return 1e18 > medians[operation] > min(medians) + 0.6 * self.operations[operation].slo_time
 
     def choose_server(self, pool, operation, invocation):
         """Returns the best of two servers sampled by weight, or None.
@@ -497,7 +497,7 @@
         samples again: without a failure so far, it would be the best for hundreds of balancers at once.
         """
         is_allowed = lambda candidate: (
-            all(candidate[0] != tried[0] for tried in invocation.tries)
+            all(candidate[0] != attempt[0] for attempt in invocation.attempts)
             and self.admits(invocation, candidate[1])
         )
         index = lambda steps: min(bisect_right(steps, self.random() * steps[-1]), len(steps) - 1)
@@ -546,7 +546,7 @@
     def invocation(self, invocation_id, key, operation, tenant, time_left):
         """A new invocation, to be dispatched or refused at once."""
         self.update_pools()
-        invocation = self.invs[invocation_id] = Invocation(
+        invocation = self.invocations[invocation_id] = Invocation(
             operation, tenant, key, self.now, self.now + time_left
         )
         self.accepted.add(self.now, operation)
@@ -559,7 +559,7 @@
     def propose(self, invocation_id, invocation, trial):
         """Dispatches to a server of the preferred pool or else of the other one; returns whether it did."""
         for pool in (self.pools[::-1] if trial else self.pools) if self.may_dispatch(invocation) else ():
-            pick = self.choose_server(pool, self.ops[invocation.op], invocation)
+            pick = self.choose_server(pool, self.operations[invocation.operation_index], invocation)
             if pick:
                 return self.send(invocation_id, invocation, *pick)
         return False
@@ -569,24 +569,24 @@
     def may_dispatch(self, invocation):
         """Whether the invocation may have another dispatch now, at any server."""
         operation, ran = (
-            self.ops[invocation.op],
-            [tried for tried in invocation.tries if tried[4] not in NEVER_RAN],
+            self.operations[invocation.operation_index],
+            [attempt for attempt in invocation.attempts if attempt[4] not in NEVER_RAN],
         )
         return (
-            len(invocation.tries) < self.dispatch_cap
+            len(invocation.attempts) < self.dispatch_cap
             and invocation.deadline - self.now >= self.tick
             and not (ran and operation.effect == SIDE_EFFECTING)
-            and (self.may_duplicate or all(tried[4] is not None for tried in ran))
+            and (self.may_duplicate or all(attempt[4] is not None for attempt in ran))
             and (
                 operation.effect != FINGERPRINTED
                 or not ran
-                or self.now < min(tried[3] for tried in ran) + operation.window - 2 * self.tick
+                or self.now < min(attempt[3] for attempt in ran) + operation.window - 2 * self.tick
             )
         )
 
     def admits(self, invocation, server):
         """Whether the rules allow a dispatch of the invocation to this server now."""
-        operation = self.ops[invocation.op]
+        operation = self.operations[invocation.operation_index]
         column, location = (1, server.zone) if operation.group == "zone" else (2, server.cell)
         # An unresponsive server still accepts dispatches and will work through the backlog when it resumes,
         # for clients that have left. It gets one dispatch at a time until it answers one.
@@ -601,12 +601,18 @@
             or (
                 operation.effect == FINGERPRINTED
                 and operation.group != "all"
-                and any(tried[column] != location for tried in invocation.tries if tried[4] not in NEVER_RAN)
+                and any(
+                    attempt[column] != location
+                    for attempt in invocation.attempts
+                    if attempt[4] not in NEVER_RAN
+                )
             )
         ):
             return False
         if self.on_trial(server.build):
-            return self.within_exposure_cap(server.build, invocation.op) and self.has_cold_capacity(server)
+            return self.within_exposure_cap(
+                server.build, invocation.operation_index
+            ) and self.has_cold_capacity(server)
         bound = self.no_return and self.phase in (TRIAL, RELEASED) and invocation.key is not None
         return not (
             bound and self.answered_by.get(invocation.key, -1) > server.build
@@ -614,8 +620,10 @@
 
     def within_exposure_cap(self, build, operation):
         """Whether the exposure cap allows one more dispatch of the operation to a build on trial."""
-        stage, cap = (self.stage, self.cap) if self.stage_known and build == self.ver else (0, self.first_cap)
-        if cap <= 0 or (stage < self.guarded_stages and self.ops[operation].effect != IDEMPOTENT):
+        stage, cap = (
+            (self.stage, self.cap) if self.stage_known and build == self.version else (0, self.first_cap)
+        )
+        if cap <= 0 or (stage < self.guarded_stages and self.operations[operation].effect != IDEMPOTENT):
             return False
         dispatched, accepted = self.trial_dispatches.get(build), self.accepted.trim(self.now)
         count = lambda window: window.counts[operation] if self.by_operation else len(window.entries)
@@ -636,11 +644,11 @@
 
     def send(self, invocation_id, invocation, address, server):
         """Dispatches if the rules above allow it; every dispatch passes here. Returns whether it was sent."""
-        operation = self.ops[invocation.op]
+        operation = self.operations[invocation.operation_index]
         if not (self.may_dispatch(invocation) and self.admits(invocation, server)):
             return False
-        invocation.tries.append([address, server.zone, server.cell, self.now, None, server.build])
-        self.record_dispatch(invocation_id, len(invocation.tries) - 1, invocation, server)
+        invocation.attempts.append([address, server.zone, server.cell, self.now, None, server.build])
+        self.record_dispatch(invocation_id, len(invocation.attempts) - 1, invocation, server)
         # An answer past the SLO time that earns nothing is not worth a server's work.
         end = (
             invocation.deadline
@@ -656,7 +664,7 @@
             server.recent_dispatches = server.recent_dispatches[-199:] + [self.now]
         if self.on_trial(server.build):
             self.trial_dispatches.setdefault(server.build, Window(self.exposure_span)).add(
-                self.now, invocation.op
+                self.now, invocation.operation_index
             )
 
     def stands(self, now, invocation_id, seq):
@@ -664,31 +672,37 @@
 
         If so the rules count it as sent now; if not it never ran.
         """
-        invocation = self.invs.get(invocation_id)
-        tried = invocation.tries[seq] if invocation else None
-        server = self.servers[tried[0]] if invocation else None
-        if not invocation or server.build != tried[5]:
+        invocation = self.invocations.get(invocation_id)
+        attempt = invocation.attempts[seq] if invocation else None
+        server = self.servers[attempt[0]] if invocation else None
+        if not invocation or server.build != attempt[5]:
             return False
-        self.now, before = now, tried[3]
+        self.now, before = now, attempt[3]
         # The dispatch is first taken out of the counts: those that one disk releases together must not be
         # counted together in a window.
         server.in_flight.pop((invocation_id, seq), None)
         if before in server.recent_dispatches:
             server.recent_dispatches.remove(before)
         if server.build in self.trial_dispatches:
-            self.trial_dispatches[server.build].remove(before, invocation.op)
-        tries, invocation.tries = invocation.tries, invocation.tries[:seq] + invocation.tries[seq + 1 :]
-        allowed, invocation.tries = self.may_dispatch(invocation) and self.admits(invocation, server), tries
+            self.trial_dispatches[server.build].remove(before, invocation.operation_index)
+        attempts, invocation.attempts = (
+            invocation.attempts,
+            invocation.attempts[:seq] + invocation.attempts[seq + 1 :],
+        )
+        allowed, invocation.attempts = (
+            self.may_dispatch(invocation) and self.admits(invocation, server),
+            attempts,
+        )
         if allowed:
-            tried[3] = now
+            attempt[3] = now
             self.record_dispatch(invocation_id, seq, invocation, server)
         return allowed
 
     def reject(self, invocation_id, invocation):
         """Answers at once instead of queueing: throttled where a retry is harmless, otherwise terminated."""
         operation, ran = (
-            self.ops[invocation.op],
-            any(tried[4] not in NEVER_RAN for tried in invocation.tries),
+            self.operations[invocation.operation_index],
+            any(attempt[4] not in NEVER_RAN for attempt in invocation.attempts),
         )
         if (
             not ran
@@ -704,22 +718,22 @@
 
     def client_gone(self, invocation_id):
         """Drops the invocation and cancels its open dispatches where that is possible."""
-        invocation = self.invs.pop(invocation_id, None)
-        for seq, tried in enumerate(invocation.tries if invocation and self.may_cancel else ()):
-            if tried[4] is None:
+        invocation = self.invocations.pop(invocation_id, None)
+        for seq, attempt in enumerate(invocation.attempts if invocation and self.may_cancel else ()):
+            if attempt[4] is None:
                 self.out.cancel(invocation_id, seq)
 
     def outcome(self, invocation_id, seq, address, status, time_taken, closed, load):
         """The end of a dispatch. `closed` means that the client has its answer; else it may be retried."""
         # A server that was listed once stays in self.servers.
-        server, invocation = self.servers[address], self.invs.get(invocation_id)
+        server, invocation = self.servers[address], self.invocations.get(invocation_id)
         sent_at, server.load = server.in_flight.pop((invocation_id, seq), None), load or server.load
         if invocation is None:
             return
         self.update_pools()
-        tried, operation = invocation.tries[seq], self.ops[invocation.op]
-        tried[4] = status
-        if server.build == tried[5] and sent_at is not None and status not in (MOOT, CANCELLED):
+        attempt, operation = invocation.attempts[seq], self.operations[invocation.operation_index]
+        attempt[4] = status
+        if server.build == attempt[5] and sent_at is not None and status not in (MOOT, CANCELLED):
             if status == UNCONNECTED:  # its process has ended; the next one at this address starts cold
                 server.last_start, self.pools_due = (
                     self.now,
@@ -730,8 +744,8 @@
             server.recent_outcomes = server.recent_outcomes[-15:] + [(self.now, took, status != SUCCEEDED)]
             self.outcomes.append((self.now, took, server.zone, status != SUCCEEDED))
             if status in (SUCCEEDED, TIMEOUT):
-                self.times_taken[invocation.op].append((self.now, time_taken))
-                self.answers.append((tried[3], time_taken / operation.slo_time))
+                self.times_taken[invocation.operation_index].append((self.now, time_taken))
+                self.answers.append((attempt[3], time_taken / operation.slo_time))
                 if status == SUCCEEDED and time_taken <= operation.slo_time:
                     self.timely.append(self.now)
             if status in (SUCCEEDED, *FAILURES) or (
@@ -742,16 +756,16 @@
                 self.record_outcome(
                     address,
                     server,
-                    invocation.op,
+                    invocation.operation_index,
                     invocation.key or invocation_id,
                     status,
                     None if young else time_taken,
                 )
         if status == SUCCEEDED and self.no_return:
-            self.answered_by[invocation.key] = max(self.answered_by.get(invocation.key, 0), tried[5])
+            self.answered_by[invocation.key] = max(self.answered_by.get(invocation.key, 0), attempt[5])
         if closed:
             self.client_gone(invocation_id)
-        elif all(other[4] is not None for other in invocation.tries):
+        elif all(other[4] is not None for other in invocation.attempts):
             worthless = (
                 not operation.late_value and self.now >= invocation.accepted_at + 0.9 * operation.slo_time
             )
@@ -764,7 +778,7 @@
         A report is three bytes: group, status and whether the build is the newest; operation; 16 times
         log2 of the time in ms.
         """
-        group, new = crc32(f"{address}{unit}".encode()) % JACKKNIFE_GROUPS, server.build == self.ver
+        group, new = crc32(f"{address}{unit}".encode()) % JACKKNIFE_GROUPS, server.build == self.version
         self.store_outcome(server.build, operation, group, status, took)
         # The judges pool the outcomes of hundreds of balancers, none of which has enough for a proof. Of
         # earlier builds' outcomes a sample is reported.
@@ -786,7 +800,7 @@
         self.observed.setdefault((build, operation), deque(maxlen=800)).append(
             (self.now, group, status, took)
         )
-        self.proof_stale = self.proof_stale or build == self.ver
+        self.proof_stale = self.proof_stale or build == self.version
 
     def sweep(self):
         """Periodic work: time-outs, statistics, rescue of stuck attempts, the limit on load, the verdict."""
@@ -796,10 +810,12 @@
             self.answers.popleft()
         span = self.now - self.arrivals.entries[0][0] if self.arrivals.entries else 0.0
         self.arrival_rate = len(self.arrivals.entries) / max(span, 1000.0)
-        if self.invs:
+        if self.invocations:
             self.update_pools()
-        for invocation_id in [i for i, invocation in self.invs.items() if self.now >= invocation.deadline]:
-            self.invs.pop(invocation_id)
+        for invocation_id in [
+            i for i, invocation in self.invocations.items() if self.now >= invocation.deadline
+        ]:
+            self.invocations.pop(invocation_id)
             self.out.terminate(invocation_id)
         times = sorted(x[1] for x in self.outcomes if x[1] and x[0] > self.now - SAMPLE_LIFETIME_MS)
         if len(times) >= 3:
@@ -818,20 +834,23 @@
         self.update_limit()
         if self.unsent_reports and (self.now > self.next_report_at or len(self.unsent_reports) > 200):
             for judge in self.other_judges:
-                self.out.signal(judge, self.ver.to_bytes(2, "big") + self.unsent_reports[:252])
+                self.out.signal(judge, self.version.to_bytes(2, "big") + self.unsent_reports[:252])
             self.unsent_reports, self.next_report_at = b"", self.now + 5 * SWEEP_PERIOD_MS
         self.judge()
 
     def rescue(self, typical_time):
         """Duplicates an attempt stuck at a failing server; cancels it where two may not run at once."""
         for invocation_id, invocation in (
-            list(self.invs.items()) if len(self.invs) <= 0.6 * self.limit else ()
+            list(self.invocations.items()) if len(self.invocations) <= 0.6 * self.limit else ()
         ):
-            operation, (address, _, _, sent_at, status, _) = self.ops[invocation.op], invocation.tries[0]
+            operation, (address, _, _, sent_at, status, _) = (
+                self.operations[invocation.operation_index],
+                invocation.attempts[0],
+            )
             age = self.now - sent_at
             if (
                 operation.effect == SIDE_EFFECTING
-                or len(invocation.tries) > 1
+                or len(invocation.attempts) > 1
                 or status
                 or not 0.3 * operation.slo_time <= age <= operation.slo_time
             ):
@@ -849,7 +868,7 @@
         The limit shrinks while one answer in five (one in three where there are few answers) takes most of
         its SLO time. It does harm where less load does not make the answers faster.
         """
-        if not self.invs:
+        if not self.invocations:
             return
         for few in (False, True):
             since = max(self.now - (4 if few else 2) * self.mean_slo_time, self.limit_cut_at)
@@ -858,8 +877,10 @@
                 break
         ratios = (ratios[-8:] if few else ratios) + [
             2.0
-            for invocation in self.invs.values()
-            if since < invocation.accepted_at < self.now - self.ops[invocation.op].slo_time
+            for invocation in self.invocations.values()
+            if since
+            < invocation.accepted_at
+            < self.now - self.operations[invocation.operation_index].slo_time
         ]
         slow = sum(1 for ratio in ratios if ratio > 0.8)
         if len(ratios) >= 4 and slow > (0.35 if few else 0.2) * len(ratios):
@@ -869,10 +890,10 @@
             # A limit below one admits at random.
             floor = min(minimum, 0.25 * self.arrival_rate * self.mean_slo_time)
             self.limit, self.limit_cut_at = (
-                max(floor, factor * min(self.limit, len(self.invs) + 1 + few)),
+                max(floor, factor * min(self.limit, len(self.invocations) + 1 + few)),
                 self.now,
             )
-        elif len(self.invs) + 1 > 0.5 * self.limit and slow < len(ratios):
+        elif len(self.invocations) + 1 > 0.5 * self.limit and slow < len(ratios):
             # The limit also grows by the answers within half their SLO time, as a TCP sender's window does:
             # growth by a hundredth per sweep alone leaves a fleet half idle for long after a cut.
             quick = (
@@ -890,7 +911,7 @@
 
         The less valuable an invocation, the smaller the part of the limit that it may fill.
         """
-        if len(self.invs) + 1 <= 0.6 * self.limit:
+        if len(self.invocations) + 1 <= 0.6 * self.limit:
             return False
         arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.entries), Counter()
         for (_, tenant), count in arrived.items():
@@ -901,11 +922,13 @@
             if by_tenant[number] > 1.3 * total * portion
         }
         value = lambda operation, tenant: (
-            self.ops[operation].billed_value * (self.over_share_value if tenant in over_share else 1.0)
+            self.operations[operation].billed_value * (self.over_share_value if tenant in over_share else 1.0)
         )
-        own_value = value(invocation.op, invocation.tenant)
+        own_value = value(invocation.operation_index, invocation.tenant)
         less_valuable = sum(count for pair, count in arrived.items() if value(*pair) < own_value) / total
-        return len(self.invs) + self.random() * (self.limit < 4) > self.limit * (0.6 + 0.4 * less_valuable)
+        return len(self.invocations) + self.random() * (self.limit < 4) > self.limit * (
+            0.6 + 0.4 * less_valuable
+        )
 
     # ---- the verdict on a build ----
 
@@ -968,21 +991,19 @@
         rows = [], [], [], []
         # A trial is judged by the larger sample: the platform's tallies, or what this balancer observed.
         observed_count, tallied_count = (
-            sum(len(outcomes) for (build, _), outcomes in source.items() if build == self.ver)
+            sum(len(outcomes) for (build, _), outcomes in source.items() if build == self.version)
             for source in (self.observed, self.tallied)
         )
-        operations, pooled = range(len(self.ops)), self.phase == TRIAL and tallied_count > observed_count
+        indices, pooled = range(len(self.operations)), self.phase == TRIAL and tallied_count > observed_count
         source = self.tallied if pooled else self.observed
         self.width = self.pooled_width if pooled or self.is_judge else self.own_width
         earlier = lambda source, operation: [
             x
             for (build, o), outcomes in source.items()
-            if o == operation and build < self.ver
+            if o == operation and build < self.version
             for x in outcomes
         ]
-        earlier_errors = [
-            x[2] == ERROR for operation in operations for x in earlier(self.observed, operation)
-        ]
+        earlier_errors = [x[2] == ERROR for operation in indices for x in earlier(self.observed, operation)]
         typical_rate = (
             (sum(earlier_errors) + 1) / (len(earlier_errors) + 2) if self.several_rollback_votes else None
         )
@@ -990,11 +1011,11 @@
         comparison = lambda is_bad, two, *rate: self.compare(
             *([(x[1], is_bad(x), x[4]) for x in outcomes] for outcomes in two), *rate
         )
-        for operation in operations:
+        for operation in indices:
             # Against bursts and slowdowns of all servers at once, the earlier builds' outcomes are given the
             # weight that the new build's have in each two seconds; seconds with outcomes of one side are left
             # out.
-            new, old = source.get((self.ver, operation), ()), earlier(source, operation)
+            new, old = source.get((self.version, operation), ()), earlier(source, operation)
             new_counts, old_counts = (Counter(x[0] // 2000 for x in outcomes) for outcomes in (new, old))
             both = (
                 [(*x, 1) for x in new if x[0] // 2000 in old_counts],
@@ -1008,7 +1029,7 @@
             slow_mark = times[int(0.8 * len(times))] if times else 0.0
             # The same quantile of exponential times, estimated from their mean.
             slow_mark = 1.6 * sum(times) / len(times) if pooled and times else slow_mark
-            slo = 0.9 * self.ops[operation].slo_time
+            slo = 0.9 * self.operations[operation].slo_time
             rows[0].append(comparison(lambda x: 1.0 if x[2] in FAILURES else late(x, slo), both))
             fair = (
                 ([], []) if self.trial_loaded and self.stage else both
@@ -1019,7 +1040,9 @@
             # Resets are left out, as a broken link causes them for any build. Only outcomes since the stage
             # began count, so that an idle trial before it does not hide the errors.
             own = [
-                (*x, 1) for x in self.observed.get((self.ver, operation), ()) if x[0] > self.stage_began_at
+                (*x, 1)
+                for x in self.observed.get((self.version, operation), ())
+                if x[0] > self.stage_began_at
             ]
             old = [(*x, 1) for x in earlier(self.observed, operation)]
             # The last seconds are also judged alone: where the release was announced late, outcomes of the
@@ -1062,7 +1085,7 @@
         _, pooled, wrong, slow, errors, failed = self.proof
         verdict, build_up_at = (
             None,
-            self.newest_start.get(self.ver, self.now) + self.trial_loaded * self.warm_within,
+            self.newest_start.get(self.version, self.now) + self.trial_loaded * self.warm_within,
         )
         step = min(
             self.stage, len(self.remaining_shares) - 1
@@ -1110,18 +1133,18 @@
                 verdict = (
                     ON if self.pools[1].candidates and self.random() < self.promote_probability else None
                 )
-        self.vote_due = self.now + (2 if self.invs else 10) * SWEEP_PERIOD_MS
+        self.vote_due = self.now + (2 if self.invocations else 10) * SWEEP_PERIOD_MS
         if verdict:
             if (
                 verdict,
-                self.ver,
+                self.version,
                 self.stage,
             ) != self.last_vote:  # logged first: the vote carries its evidence
                 outcomes = " ".join(
                     f"{size:.0f}/{difference:.2f}/{low:.2f}"
                     for size, difference, low, _ in wrong + slow + errors
                 )
-                self.out.log(f"{VERDICT_NAMES[verdict]} build {self.ver} stage {self.stage}: {outcomes}")
-            self.out.vote(self.stage, self.ver, verdict)
-            self.last_vote, self.voted_at = (verdict, self.ver, self.stage), self.now
+                self.out.log(f"{VERDICT_NAMES[verdict]} build {self.version} stage {self.stage}: {outcomes}")
+            self.out.vote(self.stage, self.version, verdict)
+            self.last_vote, self.voted_at = (verdict, self.version, self.stage), self.now
             self.vote_due = self.now + self.answer_wait
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -165,7 +165,7 @@
             for act in [act for act in self.out.acts[begin:] if act[0] == "dispatch" and act[1] >= first]:
                 _, invocation_id, address, _ = act
                 name, status, took = (
-                    NAMES[self.balancer.invs[invocation_id].op],
+                    NAMES[self.balancer.invocations[invocation_id].operation_index],
                     i.SUCCEEDED,
                     100.0 + invocation_id * 37 % 100,
                 )
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -370,7 +370,7 @@
     "answered": "from gannetfront.proxy.clients import Clients as C; w = C.wait\n"
     "C.wait = lambda self, stream, reader, held, margin: w(self, stream, reader, held, 4000.0)\n"
     "B.sweep = lambda self: None; B.reject = lambda self, ident, inv: None",
-    "effects": "B.may_dispatch = lambda self, inv: len(inv.tries) < 4",
+    "effects": "B.may_dispatch = lambda self, inv: len(inv.attempts) < 4",
     "drains": "S = balance.Server; i = S.__init__\n"
     "def f(self, e):\n    i(self, e); self.state = 'ready' if self.state == 'draining' else self.state\n"
     "S.__init__ = f",
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -674,7 +674,7 @@
     one = rig(PgNode())
     one.until(lambda: one.platform.streams)
     one.platform.notice(b"event: news\ndata: build=2&stage=0&phase=Progressing&cap=0.5&age_ms=1\n\n")
-    one.until(lambda: one.edge.rounds.balancer.ver == 2)
+    one.until(lambda: one.edge.rounds.balancer.version == 2)
     one.platform.notice(b"event: news\ndata: build=9&stage=0&phase=What&cap=0.5&age_ms=1\n\n")
     one.until(lambda: one.log.said("notice unread"))
     one.platform.streams[0].close()
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -96,7 +96,7 @@
                     assert (0 < p[1] <= self.advice) if self.advice else p[1] == 0
             self.read += 1
         with_one_out = {inv for inv, _ in self.out}
-        held = set(self.stage.balancer.invs)
+        held = set(self.stage.balancer.invocations)
         assert held == self.open, "what is owed an answer and what is held differ"
         assert held <= with_one_out, f"held with no dispatch out: {sorted(held - with_one_out)}"
         for one in called_off:  # the carrier tells of its end in the next round
@@ -112,7 +112,7 @@
     given_up = 0
     for seed in range(12):
         day = Day(seed, dict(may_duplicate=duplicate, may_cancel=cancel, retry_advice=advice))
-        day.stage.balancer.ops = [replace(op, late_value=late) for op in OPS.values()]
+        day.stage.balancer.operations = [replace(op, late_value=late) for op in OPS.values()]
         for _ in range(150):
             day.step()
         given_up += day.gave_up
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -10,7 +10,7 @@
     """Dispatches by server, and how many invocations were given up, of so many takes at each balancer at once."""
     at, gave_up = Counter(), 0
     for number, stage in enumerate(stages):
-        stage.balancer.chance_state = 1000003 * (number + 1)
+        stage.balancer.random_state = 1000003 * (number + 1)
         stage.do_take(takes, "debit")
         at.update(act[2] for act in stage.dispatches())
         gave_up += sum(act[0] == "throttle" for act in stage.out.acts)
