--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -205,7 +205,7 @@
         )
         alphas = [alpha / operation_count for alpha in (false_votes / deployment.balancers, 0.05)]
         z2s = [NormalDist().inv_cdf(1 - alpha / 2) ** 2 for alpha in alphas]
-        self.own_width, self.pooled_width = (
+        self.own_interval_factor, self.pooled_interval_factor = (
             sqrt((1 + z2) / z2 * (-2 * log(alpha) + log(1 + z2))) for alpha, z2 in zip(alphas, z2s)
         )
         # The minimum sample grows with the share of machines that a promotion would hand over. Tallies are
@@ -268,7 +268,7 @@
         self.pools_due, self.wake_at, self.limit_cut_at = 0.0, -1.0, -1e9
         self.next_sweep_at = self.last_pressure_at = self.voted_at = self.vote_due = self.stage_began_at = 0.0
         self.arrival_rate = self.timely_before_release = self.released_at = 0.0
-        self.ready_weight, self.trial_share, self.earliest_build, self.limit, self.usable_share = (
+        self.ready_weight, self.trial_share, self.earliest_build, self.open_limit, self.usable_share = (
             0.0,
             0.0,
             0,
@@ -552,7 +552,7 @@
         self.accepted.add(self.now, operation)
         self.arrivals.add(self.now, (operation, tenant))
         # A tenth of a throttled operation is still sent, to detect its recovery.
-        refused = self.crowded(invocation) or self.is_stuck(operation) and self.random() > 0.1
+        refused = self.exceeds_limit(invocation) or self.is_stuck(operation) and self.random() > 0.1
         if refused or not self.propose(invocation_id, invocation, self.random() < self.trial_share):
             self.reject(invocation_id, invocation)
 
@@ -841,7 +841,7 @@
     def rescue(self, typical_time):
         """Duplicates an attempt stuck at a failing server; cancels it where two may not run at once."""
         for invocation_id, invocation in (
-            list(self.invocations.items()) if len(self.invocations) <= 0.6 * self.limit else ()
+            list(self.invocations.items()) if len(self.invocations) <= 0.6 * self.open_limit else ()
         ):
             operation, (address, _, _, sent_at, status, _) = (
                 self.operations[invocation.operation_index],
@@ -889,11 +889,11 @@
             minimum, factor = (1.0, 0.5) if slow == len(ratios) else (4.0, 0.8)
             # A limit below one admits at random.
             floor = min(minimum, 0.25 * self.arrival_rate * self.mean_slo_time)
-            self.limit, self.limit_cut_at = (
-                max(floor, factor * min(self.limit, len(self.invocations) + 1 + few)),
+            self.open_limit, self.limit_cut_at = (
+                max(floor, factor * min(self.open_limit, len(self.invocations) + 1 + few)),
                 self.now,
             )
-        elif len(self.invocations) + 1 > 0.5 * self.limit and slow < len(ratios):
+        elif len(self.invocations) + 1 > 0.5 * self.open_limit and slow < len(ratios):
             # The limit also grows by the answers within half their SLO time, as a TCP sender's window does:
             # growth by a hundredth per sweep alone leaves a fleet half idle for long after a cut.
             quick = (
@@ -901,17 +901,19 @@
                 * SWEEP_PERIOD_MS
                 / max(SWEEP_PERIOD_MS, self.now - since)
             )
-            self.limit = self.limit * 1.01 + 0.05 + min(0.1 * self.limit, quick / self.limit)
+            self.open_limit = (
+                self.open_limit * 1.01 + 0.05 + min(0.1 * self.open_limit, quick / self.open_limit)
+            )
         if few and (slow < len(ratios) or not ratios):  # slow answers alone are no reason to raise the limit
-            self.limit *= 1.01 ** min(10, (self.now - self.last_pressure_at) / SWEEP_PERIOD_MS)
+            self.open_limit *= 1.01 ** min(10, (self.now - self.last_pressure_at) / SWEEP_PERIOD_MS)
         self.last_pressure_at = self.now
 
-    def crowded(self, invocation):
+    def exceeds_limit(self, invocation):
         """Whether the limit on open invocations leaves no place for this one.
 
         The less valuable an invocation, the smaller the part of the limit that it may fill.
         """
-        if len(self.invocations) + 1 <= 0.6 * self.limit:
+        if len(self.invocations) + 1 <= 0.6 * self.open_limit:
             return False
         arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.entries), Counter()
         for (_, tenant), count in arrived.items():
@@ -926,13 +928,13 @@
         )
         own_value = value(invocation.operation_index, invocation.tenant)
         less_valuable = sum(count for pair, count in arrived.items() if value(*pair) < own_value) / total
-        return len(self.invocations) + self.random() * (self.limit < 4) > self.limit * (
+        return len(self.invocations) + self.random() * (self.open_limit < 4) > self.open_limit * (
             0.6 + 0.4 * less_valuable
         )
 
     # ---- the verdict on a build ----
 
-    def spread(self, outcomes, typical_rate=None):
+    def estimate(self, outcomes, typical_rate=None):
         """Effective size, mean and delete-a-group jackknife variance of (group, bad, weight) outcomes."""
         sizes, bad_sums = [0.0] * JACKKNIFE_GROUPS, [0.0] * JACKKNIFE_GROUPS
         for group, bad, weight in outcomes:
@@ -970,11 +972,13 @@
         if not new or not old:
             return len(new), 0.0, -1.0, 0.0
         (new_size, new_mean, new_variance), (old_size, old_mean, old_variance) = (
-            self.spread(new, typical_rate),
-            self.spread(old, typical_rate),
+            self.estimate(new, typical_rate),
+            self.estimate(old, typical_rate),
         )
         enough = new_size >= (MINIMUM_OUTCOMES if typical_rate is None else self.minimum_outcomes) <= old_size
-        low = new_mean - old_mean - self.width * sqrt(new_variance + old_variance) if enough else -1.0
+        low = (
+            new_mean - old_mean - self.interval_factor * sqrt(new_variance + old_variance) if enough else -1.0
+        )
         return (
             new_size,
             new_mean - old_mean - (0.0 if self.several_rollback_votes else 1 / new_size),
@@ -996,7 +1000,9 @@
         )
         indices, pooled = range(len(self.operations)), self.phase == TRIAL and tallied_count > observed_count
         source = self.tallied if pooled else self.observed
-        self.width = self.pooled_width if pooled or self.is_judge else self.own_width
+        self.interval_factor = (
+            self.pooled_interval_factor if pooled or self.is_judge else self.own_interval_factor
+        )
         earlier = lambda source, operation: [
             x
             for (build, o), outcomes in source.items()
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -135,7 +135,7 @@
                     out=len(rounds.flights),
                     clients=len(self.clients.open),
                     to_nodes=self.pools.size(),
-                    bound=min(1e6, round(rounds.balancer.limit, 1)),
+                    bound=min(1e6, round(rounds.balancer.open_limit, 1)),
                     rounds=rounds.rounds,
                     decisions_ms=round(rounds.spent - spent),
                     turned_away=away,
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -45,13 +45,13 @@
     # Ten groups of two, one bad outcome in each of the first two: leaving one of those out gives 1/18, any
     # other 2/18, about a mean of 0.1.
     outcomes = [(group, group < 2 and half == 0, 1) for group in range(10) for half in (0, 1)]
-    size, mean, variance = judge.spread(outcomes)
+    size, mean, variance = judge.estimate(outcomes)
     jackknife = 0.9 * (2 * (1 / 18 - 0.1) ** 2 + 8 * (2 / 18 - 0.1) ** 2)
     rate = 3 / 22
     assert (size, mean) == (20, 0.1) and isclose(variance, max(jackknife, rate * (1 - rate) / 20))
     # With all bad outcomes in one group the jackknife variance is the larger one.
     clustered = [(group, group == 0, 1) for group in range(10) for _ in (0, 1)]
-    assert isclose(judge.spread(clustered)[2], 0.9 * ((0 - 0.1) ** 2 + 9 * (2 / 18 - 0.1) ** 2))
+    assert isclose(judge.estimate(clustered)[2], 0.9 * ((0 - 0.1) ** 2 + 9 * (2 / 18 - 0.1) ** 2))
 
 
 def test_interval_against_the_paper(judge):
@@ -60,14 +60,14 @@
     half_width = sqrt(
         variance * (variance + tau) / tau * (-2 * log(alpha) - log(variance / (variance + tau)))
     )
-    assert isclose(judge.own_width * sqrt(variance), half_width)
+    assert isclose(judge.own_interval_factor * sqrt(variance), half_width)
 
 
 def test_no_failures_leave_some_variance(judge):
     good = [(group, False, 1) for group in range(10) for _ in (0, 1)]
-    judge.width = judge.own_width
+    judge.interval_factor = judge.own_interval_factor
     size, difference, low = judge.compare(good, good)[:3]
-    assert judge.spread(good)[2] > 0 and difference < 0 and -1 < low < 0
+    assert judge.estimate(good)[2] > 0 and difference < 0 and -1 < low < 0
 
 
 def test_immediate_failure_does_not_count_as_a_fast_answer():
@@ -85,13 +85,13 @@
     for line in ("server a", "take 30 look"):
         stage.play(line)
     balancer = stage.balancer
-    balancer.limit, invocation = 31.0, Invocation(0, 1, None, balancer.now, balancer.now + 1000)
+    balancer.open_limit, invocation = 31.0, Invocation(0, 1, None, balancer.now, balancer.now + 1000)
     # The arrivals are over their tenant's portion and worth less: they give way to this invocation.
-    assert not balancer.crowded(invocation)
+    assert not balancer.exceeds_limit(invocation)
     before = dict(balancer.arrivals.counts)
     stage.queue.append(("tenants_listed", ((1.0, 0.0), (0.5, 0.0))))
     stage.flush()
-    assert balancer.crowded(invocation) and balancer.arrivals.counts == before
+    assert balancer.exceeds_limit(invocation) and balancer.arrivals.counts == before
 
 
 @pytest.mark.parametrize(
