--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -360,7 +360,10 @@
         """The directory's present portions by tenant number; a number stays with its tenant or group."""
         self.tenants = tenants
 
-    begun = timer = probed = lambda self, *fields: None
+    def begun(self, *fields):
+        """An event that calls for no decision, like `timer` and `probed`: a round is run, which is enough."""
+
+    timer = probed = begun
 
     def tally(self, attempts, since, bad, took, operation, build):
         """A sample from the platform, the same at all balancers: one jackknife group per period.
@@ -496,12 +499,21 @@
         all allowed servers of the pool are compared. Should the best of those be cold, the choice is among
         samples again: without a failure so far, it would be the best for hundreds of balancers at once.
         """
-        is_allowed = lambda candidate: (
-            all(candidate[0] != attempt[0] for attempt in invocation.attempts)
-            and self.admits(invocation, candidate[1])
-        )
-        index = lambda steps: min(bisect_right(steps, self.random() * steps[-1]), len(steps) - 1)
-        sample = lambda samples: [subset[index(steps)] for subset, steps in samples for _ in (0, 1)]
+
+        def is_allowed(candidate):
+            return all(candidate[0] != attempt[0] for attempt in invocation.attempts) and self.admits(
+                invocation, candidate[1]
+            )
+
+        def index(steps):
+            return min(bisect_right(steps, self.random() * steps[-1]), len(steps) - 1)
+
+        def sample(samples):
+            return [subset[index(steps)] for subset, steps in samples for _ in (0, 1)]
+
+        def warm(some):
+            return [candidate for candidate in some if not self.is_cold(candidate[1])]
+
         candidates, usable_share = (
             [candidate for candidate in sample(pool.samples) if is_allowed(candidate)],
             self.usable_share,
@@ -530,7 +542,6 @@
             and any(self.is_cold(server) for _, server in candidates)
             and self.random() > usable_share
         ):
-            warm = lambda some: [candidate for candidate in some if not self.is_cold(candidate[1])]
             rest = (
                 ()
                 if warm(candidates)
@@ -626,7 +637,10 @@
         if cap <= 0 or (stage < self.guarded_stages and self.operations[operation].effect != IDEMPOTENT):
             return False
         dispatched, accepted = self.trial_dispatches.get(build), self.accepted.trim(self.now)
-        count = lambda window: window.counts[operation] if self.by_operation else len(window.entries)
+
+        def count(window):
+            return window.counts[operation] if self.by_operation else len(window.entries)
+
         return (
             count(dispatched.trim(self.now)) if dispatched else 0
         ) + 1 <= self.free_dispatches + cap * count(accepted)
@@ -923,9 +937,12 @@
             for number, (portion, _) in enumerate(self.tenants)
             if by_tenant[number] > 1.3 * total * portion
         }
-        value = lambda operation, tenant: (
-            self.operations[operation].billed_value * (self.over_share_value if tenant in over_share else 1.0)
-        )
+
+        def value(operation, tenant):
+            return self.operations[operation].billed_value * (
+                self.over_share_value if tenant in over_share else 1.0
+            )
+
         own_value = value(invocation.operation_index, invocation.tenant)
         less_valuable = sum(count for pair, count in arrived.items() if value(*pair) < own_value) / total
         return len(self.invocations) + self.random() * (self.open_limit < 4) > self.open_limit * (
@@ -1003,20 +1020,26 @@
         self.interval_factor = (
             self.pooled_interval_factor if pooled or self.is_judge else self.own_interval_factor
         )
-        earlier = lambda source, operation: [
-            x
-            for (build, o), outcomes in source.items()
-            if o == operation and build < self.version
-            for x in outcomes
-        ]
+
+        def earlier(source, operation):
+            return [
+                x
+                for (build, o), outcomes in source.items()
+                if o == operation and build < self.version
+                for x in outcomes
+            ]
+
         earlier_errors = [x[2] == ERROR for operation in indices for x in earlier(self.observed, operation)]
         typical_rate = (
             (sum(earlier_errors) + 1) / (len(earlier_errors) + 2) if self.several_rollback_votes else None
         )
-        late = lambda x, limit: (exp(-limit / x[3]) if pooled else x[3] > limit) if x[3] else 0.0
-        comparison = lambda is_bad, two, *rate: self.compare(
-            *([(x[1], is_bad(x), x[4]) for x in outcomes] for outcomes in two), *rate
-        )
+
+        def late(x, limit):
+            return (exp(-limit / x[3]) if pooled else x[3] > limit) if x[3] else 0.0
+
+        def comparison(is_bad, two, *rate):
+            return self.compare(*([(x[1], is_bad(x), x[4]) for x in outcomes] for outcomes in two), *rate)
+
         for operation in indices:
             # Against bursts and slowdowns of all servers at once, the earlier builds' outcomes are given the
             # weight that the new build's have in each two seconds; seconds with outcomes of one side are left
@@ -1096,7 +1119,10 @@
         step = min(
             self.stage, len(self.remaining_shares) - 1
         )  # the release may have more stages than the settings
-        proven = lambda rows, margin: any(row[2] > margin for row in rows)
+
+        def proven(rows, margin):
+            return any(row[2] > margin for row in rows)
+
         # After a release the last answers of draining servers are no fair sample for lateness or slowness.
         if (
             self.phase == TRIAL
