--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -32,13 +32,18 @@
     UNCONNECTED,
 )
 
-NEVER_RAN, FAILURES, VERDICT_NAMES = (FULL, UNCONNECTED, MOOT), (ERROR, RESET), {ON: "on", BACK: "back"}
+NEVER_RAN = (FULL, UNCONNECTED, MOOT)  # statuses after which no server has run the invocation
+FAILURES = (ERROR, RESET)
+VERDICT_NAMES = {ON: "on", BACK: "back"}
 REPORTED_STATUSES = SUCCEEDED, ERROR, RESET, TIMEOUT  # a report to the judges holds the index
 JUDGE_COUNT = 3  # balancers that collect the outcomes of all others, where signals are allowed
 JACKKNIFE_GROUPS = 10  # R in the paper
 MINIMUM_OUTCOMES = 20  # per build before any vote, summed over all balancers that must agree
 # The margins for slowness are wider: at 0.15 a good build on a few slow machines was rolled back by a burst.
-ROLLBACK_MARGIN, PROMOTE_MARGIN, SLOW_ROLLBACK_MARGIN, SLOW_PROMOTE_MARGIN = 0.03, 0.05, 0.25, 0.2
+ROLLBACK_MARGIN = 0.03
+PROMOTE_MARGIN = 0.05
+SLOW_ROLLBACK_MARGIN = 0.25
+SLOW_PROMOTE_MARGIN = 0.2
 YOUNG_SERVER_MS = 5000.0  # response times of a younger server are not attributed to its build
 EARLIER_BUILD_WEIGHT = 0.25  # weight of earlier builds' servers while the trial may take all traffic
 # From the newest server's start to a vote to promote; at the last stage, from when that server is warm.
@@ -69,14 +74,19 @@
 
     def __init__(self, entry, no_load={}):
         _, self.zone, self.build, self.kind, self.cell, self.state, self.weight, self.started_at = entry
-        self.in_flight, self.load = {}, no_load  # (invocation id, sequence number) -> time sent
+        self.in_flight = {}  # (invocation id, sequence number) -> time sent
+        self.load = no_load
         self.recent_outcomes = []  # last 16 of (time, time taken or None, failed)
-        # Times of the last 200 dispatches while cold; last start, as listed or after a refused connection.
-        self.recent_dispatches, self.last_start = [], self.started_at
+        self.recent_dispatches = []  # times of the last 200 while cold
+        self.last_start = self.started_at  # as listed or after a refused connection
 
     def health(self, now, typical_time, failure_rate=0.0):
         """Returns (expected time taken in ms, expected failure rate), smoothed by two typical outcomes."""
-        oldest, times, timed, failures, outcomes = now - SAMPLE_LIFETIME_MS, 0.0, 0, 0, 0
+        oldest = now - SAMPLE_LIFETIME_MS
+        times = 0.0
+        timed = 0
+        failures = 0
+        outcomes = 0
         for at, took, failed in self.recent_outcomes:
             if at > oldest:
                 outcomes, failures = outcomes + 1, failures + failed
@@ -94,14 +104,12 @@
 
     def __init__(self, candidates, weigh, home_zone):
         home = [candidate for candidate in candidates if candidate[1].zone == home_zone]
-        self.candidates, self.samples = (
-            candidates,
-            [
-                (subset, list(accumulate(weigh(subset))))
-                for subset in (candidates, home if len(home) < len(candidates) else [])
-                if subset
-            ],
-        )
+        self.candidates = candidates
+        self.samples = [
+            (subset, list(accumulate(weigh(subset))))
+            for subset in (candidates, home if len(home) < len(candidates) else [])
+            if subset
+        ]
         self.total_weight = self.samples[0][1][-1] if candidates else 0.0
         # Share of the weight that is in the home zone.
         self.home_share = self.samples[1][1][-1] / self.total_weight if len(self.samples) > 1 else 1.0
@@ -114,7 +122,10 @@
     """
 
     def __init__(self, span, maximum=None):
-        self.span, self.maximum, self.entries, self.counts = span, maximum, deque(), Counter()
+        self.span = span
+        self.maximum = maximum
+        self.entries = deque()
+        self.counts = Counter()
 
     def add(self, now, item):
         if len(self.entries) == self.maximum:
@@ -138,13 +149,11 @@
     """An invocation that has not been answered yet."""
 
     def __init__(self, operation_index, tenant, key, accepted_at, deadline):
-        self.operation_index, self.tenant, self.key, self.accepted_at, self.deadline = (
-            operation_index,
-            tenant,
-            key,
-            accepted_at,
-            deadline,
-        )
+        self.operation_index = operation_index
+        self.tenant = tenant
+        self.key = key
+        self.accepted_at = accepted_at
+        self.deadline = deadline
         self.attempts = []  # [server id, zone, cell, time sent, status or None, build]
 
 
@@ -153,53 +162,42 @@
 
     def __init__(self, seed, deployment):
         self.random_state = seed & (2**64 - 1)
-        rollout, self.operations, self.zone, self.tick = (
-            deployment.rollout,
-            deployment.operations,
-            deployment.zone,
-            deployment.tick,
-        )
-        self.tenants, self.over_share_value = deployment.tenants, deployment.over_share_value
-        self.may_cancel, self.may_duplicate, self.must_subscribe, self.retry_advice = (
-            deployment.may_cancel,
-            deployment.may_duplicate,
-            deployment.must_subscribe,
-            deployment.retry_advice,
-        )
-        self.cross_zone_price, self.cold_share, self.warm_within, self.overload_for, self.dispatch_cap = (
-            deployment.cross_zone_price,
-            deployment.cold_share,
-            deployment.warm_within,
-            deployment.overload_for,
-            deployment.dispatch_cap,
-        )
+        rollout = deployment.rollout
+        self.operations = deployment.operations
+        self.zone = deployment.zone
+        self.tick = deployment.tick
+        self.tenants = deployment.tenants
+        self.over_share_value = deployment.over_share_value
+        self.may_cancel = deployment.may_cancel
+        self.may_duplicate = deployment.may_duplicate
+        self.must_subscribe = deployment.must_subscribe
+        self.retry_advice = deployment.retry_advice
+        self.cross_zone_price = deployment.cross_zone_price
+        self.cold_share = deployment.cold_share
+        self.warm_within = deployment.warm_within
+        self.overload_for = deployment.overload_for
+        self.dispatch_cap = deployment.dispatch_cap
+        self.home_zone = self.zone if self.cross_zone_price else None
         # A cold server is planned for half of the load at which it fails, but for no less than the fair share
         # of its ramp, which has_cold_capacity() grants.
-        self.home_zone, self.cold_load_factor = (
-            self.zone if self.cross_zone_price else None,
-            max(1.0, deployment.fall_multiple / 2),
-        )
+        self.cold_load_factor = max(1.0, deployment.fall_multiple / 2)
         # Dispatches are counted over slightly more than the exposure window, accepted invocations over
         # slightly less, which errs on the side of fewer dispatches.
-        self.exposure_span, self.accepted = (
-            rollout.window + 2 * deployment.tick,
-            Window(rollout.window - 2 * deployment.tick),
-        )
-        self.free_dispatches, self.first_cap, self.guarded_stages = (
-            rollout.free,
-            rollout.caps[0],
-            rollout.guarded,
-        )
-        self.by_operation, self.no_return = rollout.by_operation, rollout.no_return
-        self.renew_vote_after, self.answer_wait = 0.6 * rollout.vote_life, rollout.answer_wait + 50
+        self.exposure_span = rollout.window + 2 * deployment.tick
+        self.accepted = Window(rollout.window - 2 * deployment.tick)
+        self.free_dispatches = rollout.free
+        self.first_cap = rollout.caps[0]
+        self.guarded_stages = rollout.guarded
+        self.by_operation = rollout.by_operation
+        self.no_return = rollout.no_return
+        self.renew_vote_after = 0.6 * rollout.vote_life
+        self.answer_wait = rollout.answer_wait + 50
         # Alpha is shared so that enough false roll-back votes come together one time in twenty (the lower end
         # of the interval of a Poisson rate). The mSPRT interval has tau = z2 * V: a factor times the square
         # root of V.
-        operation_count, promote_votes, rollback_votes = (
-            len(self.operations),
-            max(1, rollout.on_votes),
-            max(1, rollout.back_votes),
-        )
+        operation_count = len(self.operations)
+        promote_votes = max(1, rollout.on_votes)
+        rollback_votes = max(1, rollout.back_votes)
         false_votes = max(
             0.05, rollback_votes * (1 - 1 / (9 * rollback_votes) - 1.645 / (3 * sqrt(rollback_votes))) ** 3
         )
@@ -217,15 +215,11 @@
         )
         # Share of machines that earlier builds keep after a promotion, by stage.
         self.remaining_shares = [1 - share for share in shares]
-        self.is_judge, self.unsent_reports, self.next_report_at = (
-            deployment.may_signal and deployment.me < JUDGE_COUNT,
-            b"",
-            0.0,
-        )
-        self.minimum_outcomes, self.several_rollback_votes = (
-            MINIMUM_OUTCOMES / rollback_votes,
-            rollback_votes > 1,
-        )
+        self.is_judge = deployment.may_signal and deployment.me < JUDGE_COUNT
+        self.unsent_reports = b""
+        self.next_report_at = 0.0
+        self.minimum_outcomes = MINIMUM_OUTCOMES / rollback_votes
+        self.several_rollback_votes = rollback_votes > 1
         self.votes_to_promote = (
             rollout.on_votes > 0 and not rollout.timed and self.is_judge >= deployment.may_signal
         )
@@ -248,38 +242,53 @@
             deployment.balancers * 0.15 * self.mean_slo_time
             > self.cold_load_factor * self.cold_share * self.overload_for
         )
-        self.servers, self.invocations, self.pools = {}, {}, (Pool([], None, 0),) * 2
-        self.version, self.stage, self.cap, self.phase, self.stage_known = None, 0, 0.0, None, False
-        # build -> operations dispatched to it, a Window like `accepted`; key -> newest build that answered it
-        self.trial_dispatches, self.answered_by = {}, {}
-        # answers: (time sent, time taken / SLO time); timely: times of the answers within the SLO time
-        self.arrivals, self.answers, self.timely = (
-            Window(COUNTING_SPAN_MS, 1000),
-            deque(maxlen=1000),
-            deque(maxlen=1000),
-        )
-        # outcomes: (time, time taken or None, zone, failed); zone_health: zone -> (mean time, failure rate)
-        self.outcomes, self.typical_time, self.zone_health = deque(maxlen=64), None, {}
+        self.servers = {}
+        self.invocations = {}
+        self.pools = (Pool([], None, 0),) * 2
+        self.version = None
+        self.stage = 0
+        self.cap = 0.0
+        self.phase = None
+        self.stage_known = False
+        self.trial_dispatches = {}  # build -> Window of the operations dispatched to it
+        self.answered_by = {}  # key -> newest build that answered it
+        self.arrivals = Window(COUNTING_SPAN_MS, 1000)  # (operation, tenant)
+        self.answers = deque(maxlen=1000)  # (time sent, time taken / SLO time)
+        self.timely = deque(maxlen=1000)  # times of the answers within the SLO time
+        self.outcomes = deque(maxlen=64)  # (time, time taken or None, zone, failed)
+        self.typical_time = None  # ms
+        self.zone_health = {}  # zone -> (mean time taken, failure rate)
         self.times_taken = [deque(maxlen=6) for _ in self.operations]  # (time, mean time taken) by operation
         # Own outcomes and the platform's: (build, operation) -> deque of (time, group, status, time taken)
-        self.observed, self.tallied = {}, {}
-        self.proof, self.proof_stale, self.last_vote = None, False, None
+        self.observed = {}
+        self.tallied = {}
+        self.proof = None  # (time, result of evidence())
+        self.proof_stale = False
+        self.last_vote = None  # (verdict, version, stage)
         self.newest_start = {}  # build -> start of its newest ready server
-        self.pools_due, self.wake_at, self.limit_cut_at = 0.0, -1.0, -1e9
-        self.next_sweep_at = self.last_pressure_at = self.voted_at = self.vote_due = self.stage_began_at = 0.0
-        self.arrival_rate = self.timely_before_release = self.released_at = 0.0
-        self.ready_weight, self.trial_share, self.earliest_build, self.open_limit, self.usable_share = (
-            0.0,
-            0.0,
-            0,
-            1e9,
-            1.0,
-        )
-        self.zone_count, self.trial_loaded = 1, False
+        self.pools_due = 0.0
+        self.wake_at = -1.0
+        self.limit_cut_at = -1e9
+        self.next_sweep_at = 0.0
+        self.last_pressure_at = 0.0
+        self.voted_at = 0.0
+        self.vote_due = 0.0
+        self.stage_began_at = 0.0
+        self.arrival_rate = 0.0  # invocations per ms
+        self.timely_before_release = 0.0
+        self.released_at = 0.0
+        self.ready_weight = 0.0
+        self.trial_share = 0.0
+        self.earliest_build = 0
+        self.open_limit = 1e9  # on open invocations
+        self.usable_share = 1.0
+        self.zone_count = 1
+        self.trial_loaded = False
 
     def round(self, now, events, out):
         """Processes the events of one round and writes the decisions to `out`."""
-        self.now, self.out = now, out
+        self.now = now
+        self.out = out
         for name, *fields in events:
             getattr(self, name)(*fields)
         if now >= self.next_sweep_at:
@@ -305,17 +314,16 @@
         if kind == "failed":
             return
         for entry in entries:
-            old, new = self.servers.get(entry[0]), Server(entry)
+            old = self.servers.get(entry[0])
+            new = Server(entry)
             self.servers[entry[0]] = new
             if old:
                 new.in_flight = old.in_flight
                 if (old.build, old.started_at) == (new.build, new.started_at):
-                    new.recent_outcomes, new.recent_dispatches, new.load, new.last_start = (
-                        old.recent_outcomes,
-                        old.recent_dispatches,
-                        old.load,
-                        old.last_start,
-                    )
+                    new.recent_outcomes = old.recent_outcomes
+                    new.recent_dispatches = old.recent_dispatches
+                    new.load = old.load
+                    new.last_start = old.last_start
             if new.state == READY:
                 self.newest_start[new.build] = max(
                     self.newest_start.get(new.build, new.started_at), new.started_at
@@ -331,29 +339,30 @@
         if answer and status != SUCCEEDED:
             # After moot the update that explains it is on its way; after full, error or timeout the vote is
             # repeated soon, at random so that the balancers are not in step.
-            self.last_vote, self.vote_due = None, self.now + 150 + 300 * self.random()
+            self.last_vote = None
+            self.vote_due = self.now + 150 + 300 * self.random()
             return
         if answer and self.last_vote:
             self.vote_due = max(self.vote_due, self.voted_at + self.renew_vote_after)
         if (phase, self.phase, version) == (RELEASED, TRIAL, self.version):
-            self.released_at, self.timely_before_release = (
-                self.now,
-                sum(1 for at in self.timely if at > self.now - COUNTING_SPAN_MS),
-            )
+            self.released_at = self.now
+            self.timely_before_release = sum(1 for at in self.timely if at > self.now - COUNTING_SPAN_MS)
         if (version, stage, phase) != (self.version, self.stage, self.phase):
             self.vote_due = self.stage_began_at = self.now
         if version != self.version:
             # A build is judged against the last two earlier ones. Build numbers may have gaps, and a long day
             # has more builds than need to be held.
             last = sorted({build for build, _ in (*self.observed, *self.tallied) if build < version})[-2:]
-            self.unsent_reports, (self.observed, self.tallied) = (
-                b"",
-                (
-                    {key: outcomes for key, outcomes in source.items() if key[0] >= version or key[0] in last}
-                    for source in (self.observed, self.tallied)
-                ),
+            self.unsent_reports = b""
+            self.observed, self.tallied = (
+                {key: outcomes for key, outcomes in source.items() if key[0] >= version or key[0] in last}
+                for source in (self.observed, self.tallied)
             )
-        self.version, self.stage, self.cap, self.phase, self.stage_known = version, stage, cap, phase, True
+        self.version = version
+        self.stage = stage
+        self.cap = cap
+        self.phase = phase
+        self.stage_known = True
         self.pools_due = 0.0
 
     def tenants_listed(self, tenants):
@@ -382,7 +391,8 @@
 
     def peer(self, sender, payload):
         """Outcomes that another balancer reported to this judge, three bytes each; see record_outcome()."""
-        version, size = int.from_bytes(payload[:2], "big"), len(payload)
+        version = int.from_bytes(payload[:2], "big")
+        size = len(payload)
         for flags, operation, took in zip(payload[2:size:3], payload[3:size:3], payload[4:size:3]):
             self.store_outcome(
                 version - 1 + (flags & 1),
@@ -428,10 +438,8 @@
             )
             for part in (False, True)
         ]
-        self.ready_weight, self.zone_count = (
-            sum(server.weight for _, server in ready) or 1.0,
-            len({server.zone for _, server in ready}),
-        )
+        self.ready_weight = sum(server.weight for _, server in ready) or 1.0
+        self.zone_count = len({server.zone for _, server in ready})
         # At the last stage, where the build may take all traffic, it gets most of it before its release: a
         # build that fails only under load would otherwise show it when no earlier servers are left.
         self.trial_loaded = (
@@ -440,10 +448,8 @@
         old_factor = EARLIER_BUILD_WEIGHT if self.trial_loaded else 1.0
         # Only warm trial servers take the extra load, each no more than it will once all of the build runs;
         # cold servers keep to their ramp.
-        warm, total = (
-            sum(server.weight for _, server in new.candidates if not self.is_cold(server)),
-            old.total_weight + new.total_weight or 1.0,
-        )
+        warm = sum(server.weight for _, server in new.candidates if not self.is_cold(server))
+        total = old.total_weight + new.total_weight or 1.0
         extra = (
             min(total / (old_factor * old.total_weight + new.total_weight or 1.0), 2 / (1 + old_factor)) - 1
         )
@@ -514,10 +520,8 @@
         def warm(some):
             return [candidate for candidate in some if not self.is_cold(candidate[1])]
 
-        candidates, usable_share = (
-            [candidate for candidate in sample(pool.samples) if is_allowed(candidate)],
-            self.usable_share,
-        )
+        candidates = [candidate for candidate in sample(pool.samples) if is_allowed(candidate)]
+        usable_share = self.usable_share
         if not candidates:
             rest = Pool(
                 [candidate for candidate in pool.candidates if is_allowed(candidate)],
@@ -579,10 +583,8 @@
 
     def may_dispatch(self, invocation):
         """Whether the invocation may have another dispatch now, at any server."""
-        operation, ran = (
-            self.operations[invocation.operation_index],
-            [attempt for attempt in invocation.attempts if attempt[4] not in NEVER_RAN],
-        )
+        operation = self.operations[invocation.operation_index]
+        ran = [attempt for attempt in invocation.attempts if attempt[4] not in NEVER_RAN]
         return (
             len(invocation.attempts) < self.dispatch_cap
             and invocation.deadline - self.now >= self.tick
@@ -636,7 +638,8 @@
         )
         if cap <= 0 or (stage < self.guarded_stages and self.operations[operation].effect != IDEMPOTENT):
             return False
-        dispatched, accepted = self.trial_dispatches.get(build), self.accepted.trim(self.now)
+        dispatched = self.trial_dispatches.get(build)
+        accepted = self.accepted.trim(self.now)
 
         def count(window):
             return window.counts[operation] if self.by_operation else len(window.entries)
@@ -691,7 +694,8 @@
         server = self.servers[attempt[0]] if invocation else None
         if not invocation or server.build != attempt[5]:
             return False
-        self.now, before = now, attempt[3]
+        self.now = now
+        before = attempt[3]
         # The dispatch is first taken out of the counts: those that one disk releases together must not be
         # counted together in a window.
         server.in_flight.pop((invocation_id, seq), None)
@@ -703,10 +707,8 @@
             invocation.attempts,
             invocation.attempts[:seq] + invocation.attempts[seq + 1 :],
         )
-        allowed, invocation.attempts = (
-            self.may_dispatch(invocation) and self.admits(invocation, server),
-            attempts,
-        )
+        allowed = self.may_dispatch(invocation) and self.admits(invocation, server)
+        invocation.attempts = attempts
         if allowed:
             attempt[3] = now
             self.record_dispatch(invocation_id, seq, invocation, server)
@@ -714,10 +716,8 @@
 
     def reject(self, invocation_id, invocation):
         """Answers at once instead of queueing: throttled where a retry is harmless, otherwise terminated."""
-        operation, ran = (
-            self.operations[invocation.operation_index],
-            any(attempt[4] not in NEVER_RAN for attempt in invocation.attempts),
-        )
+        operation = self.operations[invocation.operation_index]
+        ran = any(attempt[4] not in NEVER_RAN for attempt in invocation.attempts)
         if (
             not ran
             or operation.effect == IDEMPOTENT
@@ -740,12 +740,14 @@
     def outcome(self, invocation_id, seq, address, status, time_taken, closed, load):
         """The end of a dispatch. `closed` means that the client has its answer; else it may be retried."""
         # A server that was listed once stays in self.servers.
-        server, invocation = self.servers[address], self.invocations.get(invocation_id)
+        server = self.servers[address]
+        invocation = self.invocations.get(invocation_id)
         sent_at, server.load = server.in_flight.pop((invocation_id, seq), None), load or server.load
         if invocation is None:
             return
         self.update_pools()
-        attempt, operation = invocation.attempts[seq], self.operations[invocation.operation_index]
+        attempt = invocation.attempts[seq]
+        operation = self.operations[invocation.operation_index]
         attempt[4] = status
         if server.build == attempt[5] and sent_at is not None and status not in (MOOT, CANCELLED):
             if status == UNCONNECTED:  # its process has ended; the next one at this address starts cold
@@ -792,7 +794,8 @@
         A report is three bytes: group, status and whether the build is the newest; operation; 16 times
         log2 of the time in ms.
         """
-        group, new = crc32(f"{address}{unit}".encode()) % JACKKNIFE_GROUPS, server.build == self.version
+        group = crc32(f"{address}{unit}".encode()) % JACKKNIFE_GROUPS
+        new = server.build == self.version
         self.store_outcome(server.build, operation, group, status, took)
         # The judges pool the outcomes of hundreds of balancers, none of which has enough for a proof. Of
         # earlier builds' outcomes a sample is reported.
@@ -849,7 +852,8 @@
         if self.unsent_reports and (self.now > self.next_report_at or len(self.unsent_reports) > 200):
             for judge in self.other_judges:
                 self.out.signal(judge, self.version.to_bytes(2, "big") + self.unsent_reports[:252])
-            self.unsent_reports, self.next_report_at = b"", self.now + 5 * SWEEP_PERIOD_MS
+            self.unsent_reports = b""
+            self.next_report_at = self.now + 5 * SWEEP_PERIOD_MS
         self.judge()
 
     def rescue(self, typical_time):
@@ -857,10 +861,8 @@
         for invocation_id, invocation in (
             list(self.invocations.items()) if len(self.invocations) <= 0.6 * self.open_limit else ()
         ):
-            operation, (address, _, _, sent_at, status, _) = (
-                self.operations[invocation.operation_index],
-                invocation.attempts[0],
-            )
+            operation = self.operations[invocation.operation_index]
+            address, _, _, sent_at, status, _ = invocation.attempts[0]
             age = self.now - sent_at
             if (
                 operation.effect == SIDE_EFFECTING
@@ -929,7 +931,9 @@
         """
         if len(self.invocations) + 1 <= 0.6 * self.open_limit:
             return False
-        arrived, total, by_tenant = self.arrivals.counts, len(self.arrivals.entries), Counter()
+        arrived = self.arrivals.counts
+        total = len(self.arrivals.entries)
+        by_tenant = Counter()
         for (_, tenant), count in arrived.items():
             by_tenant[tenant] += count
         over_share = {
@@ -953,11 +957,13 @@
 
     def estimate(self, outcomes, typical_rate=None):
         """Effective size, mean and delete-a-group jackknife variance of (group, bad, weight) outcomes."""
-        sizes, bad_sums = [0.0] * JACKKNIFE_GROUPS, [0.0] * JACKKNIFE_GROUPS
+        sizes = [0.0] * JACKKNIFE_GROUPS
+        bad_sums = [0.0] * JACKKNIFE_GROUPS
         for group, bad, weight in outcomes:
             sizes[group] += weight
             bad_sums[group] += weight * bad
-        size, bad_sum = sum(sizes), sum(bad_sums)
+        size = sum(sizes)
+        bad_sum = sum(bad_sums)
         mean = bad_sum / size
         jackknife = (
             (JACKKNIFE_GROUPS - 1)
@@ -988,10 +994,8 @@
         """
         if not new or not old:
             return len(new), 0.0, -1.0, 0.0
-        (new_size, new_mean, new_variance), (old_size, old_mean, old_variance) = (
-            self.estimate(new, typical_rate),
-            self.estimate(old, typical_rate),
-        )
+        new_size, new_mean, new_variance = self.estimate(new, typical_rate)
+        old_size, old_mean, old_variance = self.estimate(old, typical_rate)
         enough = new_size >= (MINIMUM_OUTCOMES if typical_rate is None else self.minimum_outcomes) <= old_size
         low = (
             new_mean - old_mean - self.interval_factor * sqrt(new_variance + old_variance) if enough else -1.0
@@ -1015,7 +1019,8 @@
             sum(len(outcomes) for (build, _), outcomes in source.items() if build == self.version)
             for source in (self.observed, self.tallied)
         )
-        indices, pooled = range(len(self.operations)), self.phase == TRIAL and tallied_count > observed_count
+        indices = range(len(self.operations))
+        pooled = self.phase == TRIAL and tallied_count > observed_count
         source = self.tallied if pooled else self.observed
         self.interval_factor = (
             self.pooled_interval_factor if pooled or self.is_judge else self.own_interval_factor
@@ -1044,7 +1049,8 @@
             # Against bursts and slowdowns of all servers at once, the earlier builds' outcomes are given the
             # weight that the new build's have in each two seconds; seconds with outcomes of one side are left
             # out.
-            new, old = source.get((self.version, operation), ()), earlier(source, operation)
+            new = source.get((self.version, operation), ())
+            old = earlier(source, operation)
             new_counts, old_counts = (Counter(x[0] // 2000 for x in outcomes) for outcomes in (new, old))
             both = (
                 [(*x, 1) for x in new if x[0] // 2000 in old_counts],
@@ -1110,15 +1116,13 @@
         if self.now < self.vote_due or self.phase not in (TRIAL, RELEASED):
             return
         if self.proof_stale or not self.proof or self.now > self.proof[0] + 1000:
-            self.proof, self.proof_stale = (self.now, *self.evidence()), False
+            self.proof = (self.now, *self.evidence())
+            self.proof_stale = False
         _, pooled, wrong, slow, errors, failed = self.proof
-        verdict, build_up_at = (
-            None,
-            self.newest_start.get(self.version, self.now) + self.trial_loaded * self.warm_within,
-        )
-        step = min(
-            self.stage, len(self.remaining_shares) - 1
-        )  # the release may have more stages than the settings
+        verdict = None
+        build_up_at = self.newest_start.get(self.version, self.now) + self.trial_loaded * self.warm_within
+        # The release may have more stages than the settings of this balancer.
+        step = min(self.stage, len(self.remaining_shares) - 1)
 
         def proven(rows, margin):
             return any(row[2] > margin for row in rows)
@@ -1132,10 +1136,8 @@
         ):
             verdict = BACK
         elif self.phase == TRIAL and self.votes_to_promote:
-            quiet, outcomes = (
-                self.now >= build_up_at + self.quiet_time,
-                sum(row[0] for row in wrong),
-            )
+            quiet = self.now >= build_up_at + self.quiet_time
+            outcomes = sum(row[0] for row in wrong)
             # Late and slow answers in a burst are forgiven by their standard error, less so the more machines
             # are handed over. One failure is forgiven in all, not one for each operation, against builds that
             # fail a little of each.
@@ -1178,5 +1180,6 @@
                 )
                 self.out.log(f"{VERDICT_NAMES[verdict]} build {self.version} stage {self.stage}: {outcomes}")
             self.out.vote(self.stage, self.version, verdict)
-            self.last_vote, self.voted_at = (verdict, self.version, self.stage), self.now
+            self.last_vote = (verdict, self.version, self.stage)
+            self.voted_at = self.now
             self.vote_due = self.now + self.answer_wait
--- a/gannetfront/interface.py
+++ b/gannetfront/interface.py
@@ -10,24 +10,36 @@
 from typing import Any, Iterable, Protocol
 
 # Statuses of a dispatch.
-SUCCEEDED, ERROR, FULL, TIMEOUT, UNCONNECTED, RESET, CANCELLED, MOOT = (
-    "succeeded",
-    "error",
-    "full",
-    "timeout",
-    "unconnected",
-    "reset",
-    "cancelled",
-    "moot",
-)
+SUCCEEDED = "succeeded"
+ERROR = "error"
+FULL = "full"
+TIMEOUT = "timeout"
+UNCONNECTED = "unconnected"
+RESET = "reset"
+CANCELLED = "cancelled"
+MOOT = "moot"
+
 # Effects of an operation.
-IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = "idempotent", "fingerprinted", "side-effecting"
+IDEMPOTENT = "idempotent"
+FINGERPRINTED = "fingerprinted"
+SIDE_EFFECTING = "side-effecting"
+
 # States of a server.
-READY, DRAINING, GONE = "ready", "draining", "gone"
+READY = "ready"
+DRAINING = "draining"
+GONE = "gone"
+
 # Phases of a build.
-TRIAL, GOING_BACK, RELEASED, WITHDRAWN = 0, 1, 2, 3
-# Verdicts that a vote may carry: none, promote, hold, roll back.
-NO_VOTE, ON, HOLD, BACK = 0, 1, 2, 3
+TRIAL = 0
+GOING_BACK = 1
+RELEASED = 2
+WITHDRAWN = 3
+
+# Verdicts that a vote may carry.
+NO_VOTE = 0
+ON = 1  # promote
+HOLD = 2
+BACK = 3  # roll back
 
 
 @dataclass(frozen=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,11 @@
         self.balancer = Balancer(
             7, i.Deployment(operations=tuple(OPS.values()), rollout=i.Rollout(**rollout), **deployment)
         )
-        self.out, self.now, self.queue, self.next_inv, self.listing = Recorder(), 1000.0, [], 1, {}
+        self.out = Recorder()
+        self.now = 1000.0
+        self.queue = []
+        self.next_inv = 1
+        self.listing = {}
 
     def flush(self):
         """Runs one round with the queued events."""
@@ -153,7 +157,8 @@
         `bad=BUILD:OPERATION:EVERY` turns every so many answers into errors, `slow=BUILD:FACTOR` multiplies
         the times taken and `wait=OPERATION:MS` sets them.
         """
-        values, self.count = dict(option.split("=") for option in options), getattr(self, "count", 0)
+        values = dict(option.split("=") for option in options)
+        self.count = getattr(self, "count", 0)
 
         def build_of(address):
             return self.balancer.servers[address].build
@@ -164,11 +169,9 @@
                 self.do_take(each, name)
             for act in [act for act in self.out.acts[begin:] if act[0] == "dispatch" and act[1] >= first]:
                 _, invocation_id, address, _ = act
-                name, status, took = (
-                    NAMES[self.balancer.invocations[invocation_id].operation_index],
-                    i.SUCCEEDED,
-                    100.0 + invocation_id * 37 % 100,
-                )
+                name = NAMES[self.balancer.invocations[invocation_id].operation_index]
+                status = i.SUCCEEDED
+                took = 100.0 + invocation_id * 37 % 100
                 if "bad" in values:
                     version, which, every = values["bad"].split(":")
                     if build_of(address) == int(version) and which in (name, "all"):
