--- a/bench/release.py
+++ b/bench/release.py
@@ -23,7 +23,7 @@
 
 from gannetfront import host, records
 from gannetfront.config import load, schema_pb2 as schema
-from gannetfront.interface import BACK, ON, RELEASED, TRIAL
+from gannetfront.interface import ROLL_BACK, PROMOTE, RELEASED, TRIAL
 from gannetfront.release.serve import Controller
 from gannetfront.release.store import Store
 from gannetfront.wire import control_pb2 as c, frames, http
@@ -160,7 +160,7 @@
         elif what < 0.25:
             say("ordered", one.store.put_order("resume", s.ver, "bench", "x"))
         else:
-            one.event("vote", "0", number, s.stage, s.ver, ON if what < 0.9 else BACK)
+            one.event("vote", "0", number, s.stage, s.ver, PROMOTE if what < 0.9 else ROLL_BACK)
         one.round(one.outside() + one.box.drain())
         host.sleep(float(draw.random() * 2))
 
@@ -390,7 +390,7 @@
 
             def listen(stream, n):
                 reader = frames.FrameReader()
-                stream.send(frames.pack(vote=c.Vote(number=1, stage=0, ver=2, verdict=ON)), 5000)
+                stream.send(frames.pack(vote=c.Vote(number=1, stage=0, ver=2, verdict=PROMOTE)), 5000)
                 while len(moved) < proxies:
                     for name, m in reader.feed(stream.recv(65536, 20000)):
                         if name == "stage" and m.answer:
--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from .interface import (
-    BACK,
+    ROLL_BACK,
     CANCELLED,
     ERROR,
     FINGERPRINTED,
@@ -21,7 +21,7 @@
     GONE,
     IDEMPOTENT,
     MOOT,
-    ON,
+    PROMOTE,
     READY,
     RELEASED,
     RESET,
@@ -34,7 +34,7 @@
 
 NEVER_RAN = (FULL, UNCONNECTED, MOOT)  # statuses after which no server has run the invocation
 FAILURES = (ERROR, RESET)
-VERDICT_NAMES = {ON: "on", BACK: "back"}
+VERDICT_NAMES = {PROMOTE: "on", ROLL_BACK: "back"}
 REPORTED_STATUSES = SUCCEEDED, ERROR, RESET, TIMEOUT  # a report to the judges holds the index
 JUDGE_COUNT = 3  # balancers that collect the outcomes of all others, where signals are allowed
 JACKKNIFE_GROUPS = 10  # R in the paper
@@ -1134,7 +1134,7 @@
             or proven(errors, ROLLBACK_MARGIN)
             or self.collapsed()
         ):
-            verdict = BACK
+            verdict = ROLL_BACK
         elif self.phase == TRIAL and self.votes_to_promote:
             quiet = self.now >= build_up_at + self.quiet_time
             outcomes = sum(row[0] for row in wrong)
@@ -1165,7 +1165,7 @@
             ):
                 self.update_pools()
                 verdict = (
-                    ON if self.pools[1].candidates and self.random() < self.promote_probability else None
+                    PROMOTE if self.pools[1].candidates and self.random() < self.promote_probability else None
                 )
         self.vote_due = self.now + (2 if self.invocations else 10) * SWEEP_PERIOD_MS
         if verdict:
--- a/gannetfront/interface.py
+++ b/gannetfront/interface.py
@@ -31,15 +31,15 @@
 
 # Phases of a build.
 TRIAL = 0
-GOING_BACK = 1
+ROLLING_BACK = 1
 RELEASED = 2
 WITHDRAWN = 3
 
 # Verdicts that a vote may carry.
 NO_VOTE = 0
-ON = 1  # promote
+PROMOTE = 1
 HOLD = 2
-BACK = 3  # roll back
+ROLL_BACK = 3
 
 
 @dataclass(frozen=True)
--- a/gannetfront/lab/baselines.py
+++ b/gannetfront/lab/baselines.py
@@ -8,11 +8,11 @@
 
 from .. import host
 from ..interface import (
-    BACK,
+    ROLL_BACK,
     ERROR,
     FULL,
     MOOT,
-    ON,
+    PROMOTE,
     READY,
     RELEASED,
     RESET,
@@ -137,7 +137,7 @@
     """Random choice; moves a stage on after three seconds, whatever is seen."""
 
     def verdict(self):
-        return ON if self.phase == TRIAL and self.now - self.since > 3000 else None
+        return PROMOTE if self.phase == TRIAL and self.now - self.since > 3000 else None
 
 
 class LeastLoaded(Clock):
@@ -223,8 +223,8 @@
         if len(new) < 20 or len(old) < 20:
             return None
         if sum(new) / len(new) > sum(old) / len(old) + 0.05:
-            return BACK
-        return ON if self.phase == TRIAL and self.now - self.since > 3000 else None
+            return ROLL_BACK
+        return PROMOTE if self.phase == TRIAL and self.now - self.since > 3000 else None
 
 
 POLICIES = {
--- a/gannetfront/release/outbox.py
+++ b/gannetfront/release/outbox.py
@@ -8,7 +8,7 @@
 import hmac
 import json
 
-from ..interface import GOING_BACK, RELEASED, TRIAL, WITHDRAWN
+from ..interface import ROLLING_BACK, RELEASED, TRIAL, WITHDRAWN
 
 
 class Outbox:
@@ -84,7 +84,7 @@
 
 TYPES = {
     TRIAL: "build.stage",
-    GOING_BACK: "build.going_back",
+    ROLLING_BACK: "build.going_back",
     RELEASED: "build.released",
     WITHDRAWN: "build.withdrawn",
 }
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -9,7 +9,19 @@
 by proxies that see a site away which carries the build: while most of those that are there say so, earlier votes 'on' move nothing.
 """
 
-from ..interface import BACK, FULL, GOING_BACK, HOLD, MOOT, NO_VOTE, ON, RELEASED, SUCCEEDED, TRIAL, WITHDRAWN
+from ..interface import (
+    ROLL_BACK,
+    FULL,
+    ROLLING_BACK,
+    HOLD,
+    MOOT,
+    NO_VOTE,
+    PROMOTE,
+    RELEASED,
+    SUCCEEDED,
+    TRIAL,
+    WITHDRAWN,
+)
 
 RUNNING_BY = 8000.0  # a stage's clock starts by then though some of its nodes do not run
 
@@ -149,7 +161,7 @@
 
     def vote(self, proxy, number, stage, ver, verdict, figures=""):
         # 'back' has an allowance of its own: a flood of 'on' must not crowd out the one that counts.
-        kind = verdict == BACK
+        kind = verdict == ROLL_BACK
         tokens, filled = self.tokens[kind]
         tokens = min(2 * self.allowance, tokens + (self.now - filled) * self.allowance / 1000)
         self.tokens[kind] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
@@ -158,11 +170,11 @@
             self.out.answer(proxy, number, FULL)
             return
         fits = ver == self.ver and (
-            verdict in (ON, HOLD)
+            verdict in (PROMOTE, HOLD)
             and self.phase == TRIAL
             and stage == self.stage
             or verdict == NO_VOTE
-            or verdict == BACK
+            or verdict == ROLL_BACK
             and self.phase in (TRIAL, RELEASED)
             and self.ver > 1
         )
@@ -271,8 +283,12 @@
 
     def move(self):
         new = [s for s in self.slots.values() if s.ver == self.ver]
-        if self.phase in (TRIAL, RELEASED) and self.ver > 1 and len(self.standing(BACK)) >= self.back_votes:
-            self.take_back(self.said(BACK))
+        if (
+            self.phase in (TRIAL, RELEASED)
+            and self.ver > 1
+            and len(self.standing(ROLL_BACK)) >= self.back_votes
+        ):
+            self.take_back(self.said(ROLL_BACK))
         elif self.phase == TRIAL:
             if self.queue and self.supersede:
                 self.take_back("the next build is due")
@@ -281,12 +297,12 @@
                     self.clock = self.now
             elif (
                 self.now - self.clock >= self.soak
-                and len(self.standing(ON)) >= self.enough()
+                and len(self.standing(PROMOTE)) >= self.enough()
                 and self.free()
                 and not self.kept_waiting()
             ):
                 self.advance()
-        elif self.phase == GOING_BACK:
+        elif self.phase == ROLLING_BACK:
             # Where the earlier machines have gone, new ones come first: the fleet is never without.
             back = [s for s in self.slots.values() if s.ver == self.released and not s.leaving]
             if sum(s.ready for s in back) >= self.size or self.now - self.placed >= RUNNING_BY:
@@ -314,7 +330,7 @@
         self.fill(self.ver, max(1, round(self.shares[self.stage] * self.size)))
 
     def advance(self):
-        why = self.said(ON) or "by the clock"
+        why = self.said(PROMOTE) or "by the clock"
         if self.stage + 1 < len(self.caps):
             self.enter(TRIAL, self.stage + 1, why)
             self.grow()
@@ -324,5 +340,5 @@
 
     def take_back(self, why):
         self.out.log("back", dict(build=self.ver, why=why))
-        self.enter(GOING_BACK, self.stage, why)
+        self.enter(ROLLING_BACK, self.stage, why)
         self.fill(self.released, self.size)
--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -10,7 +10,7 @@
     HOLD,
     MOOT,
     NO_VOTE,
-    ON,
+    PROMOTE,
     READY,
     RESET,
     TIMEOUT,
@@ -121,7 +121,7 @@
     def stage_vote(self, now, stage, ver, phase, entries):
         """(stage, build, verdict) to be said now about the trial under way, or None. Votes 'on' cast before a loss stand for seconds, and
         so do those of who is away: they must not move a stage over it."""
-        if phase == TRIAL and self.withholds_vote(ON, ver, entries):
+        if phase == TRIAL and self.withholds_vote(PROMOTE, ver, entries):
             if (stage, ver) == self.waits and now < self.said_at + SAID_AGAIN:
                 return None
             self.waits, self.said_at = (stage, ver), now
--- a/gannetfront/sites/shedding.py
+++ b/gannetfront/sites/shedding.py
@@ -9,7 +9,7 @@
 
 from collections import Counter, deque
 
-from ..interface import CANCELLED, MOOT, ON, RESET, TIMEOUT, UNCONNECTED
+from ..interface import CANCELLED, MOOT, PROMOTE, RESET, TIMEOUT, UNCONNECTED
 from .ramp import Ramp
 
 WINDOW_TICKS = 16  # over which the traffic is counted
@@ -198,4 +198,4 @@
         """True where a vote on a build is not to be cast now; `sites` are those with servers of it. No stage moves on while a site that
         carries it is not whole; of one that is sent nothing nothing is known, for it or against it."""
         weights = [self.weights.get(site, 1.0) for site in sites]
-        return verdict == ON and min(weights, default=1.0) < 1 or bool(weights) and max(weights) == 0
+        return verdict == PROMOTE and min(weights, default=1.0) < 1 or bool(weights) and max(weights) == 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -125,7 +125,7 @@
         self.flush()
 
     def do_stage(self, stage, cap, version, phase="trial"):
-        phases = dict(trial=i.TRIAL, back=i.GOING_BACK, released=i.RELEASED, withdrawn=i.WITHDRAWN)
+        phases = dict(trial=i.TRIAL, back=i.ROLLING_BACK, released=i.RELEASED, withdrawn=i.WITHDRAWN)
         self.queue.append(
             ("stage_told", False, int(stage), 0.0, float(cap), i.SUCCEEDED, int(version), phases[phase])
         )
@@ -195,7 +195,7 @@
         self.flush()
         acts = self.out.acts
         if what == "votes":
-            names = {i.ON: "on", i.BACK: "back"}
+            names = {i.PROMOTE: "on", i.ROLL_BACK: "back"}
             actual = sorted({names[act[3]] for act in acts if act[0] == "vote"})
             assert actual == sorted(arguments), f"votes {actual}"
             return
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -17,7 +17,7 @@
 from gannetfront import host
 from gannetfront.cli.release import main
 from gannetfront.config import load, schema_pb2 as schema
-from gannetfront.interface import BACK, GOING_BACK, ON, RELEASED, TRIAL, WITHDRAWN, Rollout
+from gannetfront.interface import ROLL_BACK, ROLLING_BACK, PROMOTE, RELEASED, TRIAL, WITHDRAWN, Rollout
 from gannetfront.proxy.links import Epochs, Outdated
 from gannetfront.release import store as store_module
 from gannetfront.release.calendar import Calendar, date
@@ -98,7 +98,7 @@
         return self.one
 
     def on(self, *proxies):
-        return self.round(*[("vote", p, 1, self.one.stage, self.one.ver, ON) for p in proxies])
+        return self.round(*[("vote", p, 1, self.one.stage, self.one.ver, PROMOTE) for p in proxies])
 
     def soaked(self, *there):
         for _ in range(13):
@@ -139,8 +139,8 @@
         "waits",
         dict(build=2, why="1 of 4 proxies in touch"),
     )
-    leased.round(("vote", "a", 9, 0, 2, BACK, "12/0.80/0.4"))
-    assert leased.one.phase == GOING_BACK and leased.out.said[-1][1]["why"] == "proxy a 12/0.80/0.4"
+    leased.round(("vote", "a", 9, 0, 2, ROLL_BACK, "12/0.80/0.4"))
+    assert leased.one.phase == ROLLING_BACK and leased.out.said[-1][1]["why"] == "proxy a 12/0.80/0.4"
 
 
 def test_hold_freeze_and_resume(leased):
@@ -165,7 +165,7 @@
         ("order", 2, "back", 3, "ops", "x"),
         ("order", 3, "back", 2, "ops", "it leaks"),
     )
-    assert leased.one.phase == GOING_BACK and [a[1] for a in leased.out.answers] == [True, False, True]
+    assert leased.one.phase == ROLLING_BACK and [a[1] for a in leased.out.answers] == [True, False, True]
     leased.soaked(*"abcd")
     assert leased.one.phase == WITHDRAWN
     leased.round(("order", 4, "offer", 2, "ops", "once more"), ("order", 5, "offer", 3, "ops", "mended"))
@@ -201,7 +201,7 @@
             one.ver > 1
             and one.phase in (TRIAL, RELEASED)
             and any(
-                v == BACK
+                v == ROLL_BACK
                 and self.played.now + step - at < one.life
                 and self.played.now + step - one.members.get(p, -1e18) <= one.lease
                 for p, (v, at) in one.votes.items()
@@ -221,12 +221,12 @@
             assert now[0] == was[0], "a trial began on hold"
         if now[0] == was[0] and was[1] == now[1] == TRIAL:
             assert was[2] <= now[2] <= was[2] + 1
-        if was[1] in (GOING_BACK, WITHDRAWN) and now[0] == was[0]:
-            assert now[1] in (GOING_BACK, WITHDRAWN), "a build came back from its withdrawal"
+        if was[1] in (ROLLING_BACK, WITHDRAWN) and now[0] == was[0]:
+            assert now[1] in (ROLLING_BACK, WITHDRAWN), "a build came back from its withdrawal"
 
     @rule(
         proxy=st.sampled_from("abcd"),
-        verdict=st.sampled_from([ON, ON, BACK]),
+        verdict=st.sampled_from([PROMOTE, PROMOTE, ROLL_BACK]),
         off=st.sampled_from([0, 0, 0, 1]),
     )
     def vote(self, proxy, verdict, off):
@@ -390,14 +390,14 @@
     first.event("offered", 2)
     until(lambda: first.stages.ver == 2)
     peer = link(first)
-    peer[0].send(frames.pack(vote=c.Vote(number=1, stage=0, ver=2, verdict=ON)), 1000)
+    peer[0].send(frames.pack(vote=c.Vote(number=1, stage=0, ver=2, verdict=PROMOTE)), 1000)
     while not heard(*peer, "stage").answer:
         pass
     epoch = first.epoch
     # Stopped, as a process that is paused: it renews nothing, says nothing, and does not know that time went by.
     first.store.__dict__["keep_turn"] = lambda: host.sleep(1e9)
     until(second.acts)
-    assert second.stages.ver == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
+    assert second.stages.ver == 2 and second.stages.votes["7"][0] == PROMOTE and second.epoch > epoch
     assert not first.acts(), "two act"
     first.turn.renewed = 1e18  # even one that believes in its turn writes nothing, and tells nothing
     first.event("offered", 3)
@@ -534,11 +534,11 @@
     played.one.allowance, played.one.tokens = 10, [(20, 0.0)] * 2
     played.round(("offered", 2))
     played.round(
-        *[("vote", str(n), 1, 0, 2, ON) for n in range(300)],
-        ("vote", "x", 1, 0, 2, BACK),
-        *[("vote", str(n), 1, 0, 2, ON) for n in range(300, 600)],
+        *[("vote", str(n), 1, 0, 2, PROMOTE) for n in range(300)],
+        ("vote", "x", 1, 0, 2, ROLL_BACK),
+        *[("vote", str(n), 1, 0, 2, PROMOTE) for n in range(300, 600)],
     )
-    assert played.one.phase == GOING_BACK
+    assert played.one.phase == ROLLING_BACK
 
 
 def test_migration_killed_at_any_step_is_taken_up(tmp_path):
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "phase, cap", [(i.GOING_BACK, 0.0), (i.TRIAL, 0.0)], ids=["taken back", "cap dropped"]
+    "phase, cap", [(i.ROLLING_BACK, 0.0), (i.TRIAL, 0.0)], ids=["taken back", "cap dropped"]
 )
 def test_a_trial_build_whose_share_went_during_the_wait_gets_nothing(rig, gate, phase, cap):
     one = rig(Node(ok()), listed=False, **LONG)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -663,7 +663,7 @@
     ):
         one.platform.vote_answers = [answer]
         before = len(one.platform.votes)
-        one.edge.api.vote(0, 7, i.BACK, "")
+        one.edge.api.vote(0, 7, i.ROLL_BACK, "")
         one.until(lambda: len(one.log.said("vote")) > before)
         assert one.log.said("vote")[-1]["answer"] == status and len(one.platform.votes) == before + 1
     assert one.edge.api.newest[3] == 7
@@ -696,7 +696,7 @@
     one.edge.reload()
     one.until(lambda: one.edge.discovery.version == 5 and other.streams)
     assert one.client().ask(select("01")) == b"\\x9f03"
-    one.edge.api.vote(0, 1, i.ON, "")
+    one.edge.api.vote(0, 1, i.PROMOTE, "")
     one.until(lambda: other.votes)
     other.close()
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -28,7 +28,7 @@
     for stage in stages:
         stage.now = 100000.0
         stage.queue += [
-            ("stage_told", False, 1, 0.0, cap, i.SUCCEEDED, 2, i.GOING_BACK),
+            ("stage_told", False, 1, 0.0, cap, i.SUCCEEDED, 2, i.ROLLING_BACK),
             ("listed", "whole", entries),
         ]
         stage.flush()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -485,11 +485,11 @@
     one = rig(Node())
     told = []
     one.proxy.link.tell = lambda *event: told.append(event)
-    one.proxy.link.vote(0, 1, i.BACK)
+    one.proxy.link.vote(0, 1, i.ROLL_BACK)
     one.until(lambda: told)
     assert told[0][1] and told[0][5] == i.MOOT  # build 1 is the fleet's first: nothing to take back
     one.proxy.link.up = False
-    one.proxy.link.vote(0, 1, i.BACK)
+    one.proxy.link.vote(0, 1, i.ROLL_BACK)
     assert told[1][5] == i.ERROR
 
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -9,13 +9,13 @@
 from gannetfront import host
 from gannetfront.config import load, schema_pb2 as schema
 from gannetfront.interface import (
-    BACK,
+    ROLL_BACK,
     FULL,
-    GOING_BACK,
+    ROLLING_BACK,
     HOLD,
     NO_VOTE,
     MOOT,
-    ON,
+    PROMOTE,
     RELEASED,
     SUCCEEDED,
     TRIAL,
@@ -86,19 +86,19 @@
 def test_a_build_goes_through_its_stages_and_the_old_ones_leave(stages):
     play(stages, 100.0, ("offered", 2))
     play(stages, 200.0)
-    play(stages, 900.0, ("vote", "0", 1, 0, 2, ON))
+    play(stages, 900.0, ("vote", "0", 1, 0, 2, PROMOTE))
     assert stages.stage == 0, "before its soak"
     play(stages, 1300.0)
     assert (stages.phase, stages.stage, stages.cap) == (TRIAL, 1, 1.0)
     play(stages, 1400.0)
-    play(stages, 2500.0, ("vote", "0", 2, 1, 2, ON))
+    play(stages, 2500.0, ("vote", "0", 2, 1, 2, PROMOTE))
     assert stages.phase == RELEASED and sum(s.leaving for s in stages.slots.values()) == 4
 
 
 def test_back_lowers_the_cap_before_nodes_leave(stages):
     play(stages, 100.0, ("offered", 2))
-    play(stages, 200.0, ("vote", "0", 1, 0, 2, BACK))
-    assert stages.phase == GOING_BACK and stages.cap == 0.0
+    play(stages, 200.0, ("vote", "0", 1, 0, 2, ROLL_BACK))
+    assert stages.phase == ROLLING_BACK and stages.cap == 0.0
     play(stages, 300.0)
     acts = [a[0] for a in stages.o.acts]
     assert acts.index("answer") < acts.index("stage", acts.index("answer")) < acts.index("remove")
@@ -108,9 +108,15 @@
 
 def test_votes_count_as_they_must(stages):
     play(stages, 100.0, ("offered", 2))
-    play(stages, 200.0, ("vote", "0", 1, 1, 2, ON), ("vote", "0", 2, 0, 1, BACK), ("vote", "0", 3, 0, 2, ON))
+    play(
+        stages,
+        200.0,
+        ("vote", "0", 1, 1, 2, PROMOTE),
+        ("vote", "0", 2, 0, 1, ROLL_BACK),
+        ("vote", "0", 3, 0, 2, PROMOTE),
+    )
     assert [a[3] for a in stages.o.acts if a[0] == "answer"] == [MOOT, MOOT, SUCCEEDED]
-    play(stages, 210.0, *[("vote", "1", n, 1, 2, ON) for n in range(30)])
+    play(stages, 210.0, *[("vote", "1", n, 1, 2, PROMOTE) for n in range(30)])
     assert [a[3] for a in stages.o.acts if a[0] == "answer"].count(FULL) >= 10
     play(stages, 5500.0)
     assert stages.stage == 0, "a vote that has lapsed moved a stage"
@@ -118,7 +124,7 @@
 
 def test_a_stage_waits_while_most_say_that_a_site_is_away_and_goes_on_by_itself(stages):
     play(stages, 100.0, ("offered", 2))
-    play(stages, 200.0, *[("vote", p, 1, 0, 2, ON) for p in "0123"])
+    play(stages, 200.0, *[("vote", p, 1, 0, 2, PROMOTE) for p in "0123"])
     play(stages, 900.0, ("vote", "1", 2, 0, 2, HOLD), ("vote", "2", 2, 0, 2, HOLD))
     play(stages, 1000.0, ("vote", "3", 2, 0, 2, HOLD))
     play(stages, 3000.0)
@@ -128,8 +134,8 @@
     )  # two of four see it so: one may see wrong, half is not most
     assert stages.stage == 1
     play(stages, 3200.0, *[("vote", p, 4, 1, 2, HOLD) for p in "0123"])
-    play(stages, 4300.0, ("vote", "0", 5, 1, 2, BACK))
-    assert stages.phase == GOING_BACK, "a bad build hides in it"
+    play(stages, 4300.0, ("vote", "0", 5, 1, 2, ROLL_BACK))
+    assert stages.phase == ROLLING_BACK, "a bad build hides in it"
 
 
 def test_a_second_offer_sends_the_first_back(stages):
@@ -143,7 +149,7 @@
 def test_saved_and_restored_takes_up_with_the_clock_right(stages):
     play(stages, 100.0, ("offered", 2))
     play(stages, 200.0)
-    play(stages, 300.0, ("vote", "0", 1, 0, 2, ON))
+    play(stages, 300.0, ("vote", "0", 1, 0, 2, PROMOTE))
     saved = json.loads(json.dumps(stages.saved()))
     again = Stages.__new__(Stages)
     again.__dict__.update(stages.__dict__, slots={}, votes={})
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -7,12 +7,12 @@
 from gannetfront.config import load, schema_pb2 as schema
 from gannetfront.duties.returning import SITES, packed, unpacked
 from gannetfront.interface import (
-    BACK,
+    ROLL_BACK,
     CANCELLED,
     ERROR,
     FULL as TURNED,
     MOOT,
-    ON,
+    PROMOTE,
     RESET,
     SUCCEEDED,
     TIMEOUT,
@@ -279,12 +279,12 @@
         SUCCEEDED: (SUCCEEDED, SUCCEEDED),
     }
     assert (
-        shedding.withholds_vote(ON, "ab")
-        and not shedding.withholds_vote(BACK, "ab")
-        and shedding.withholds_vote(BACK, "a")
-        and not shedding.withholds_vote(ON, "bc")
+        shedding.withholds_vote(PROMOTE, "ab")
+        and not shedding.withholds_vote(ROLL_BACK, "ab")
+        and shedding.withholds_vote(ROLL_BACK, "a")
+        and not shedding.withholds_vote(PROMOTE, "bc")
     )
-    assert not shedding.withholds_vote(ON, "") and not shedding.withholds_vote(BACK, "")
+    assert not shedding.withholds_vote(PROMOTE, "") and not shedding.withholds_vote(ROLL_BACK, "")
 
 
 @given(st.integers(0, 2**30), st.lists(st.integers(0, 7), max_size=SITES))
