--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -1,7 +1,7 @@
 """The proxy on the users' platform, assembled: clients' side, rounds, pools, discovery, release API, peers; its life."""
 
 from .. import host
-from ..balance import Balancer, come_back
+from ..balance import Balancer, retry_delay
 from ..interface import SUCCEEDED
 from ..proxy.pools import Pools
 from ..proxy.rounds import Rounds
@@ -37,7 +37,7 @@
         )
         self.rounds.on_restart, self.rounds.build_of = self.refill, lambda name: self.discovery.build(name)
         jitter = host.Jitter(start.seed + 1)
-        self.rounds.set_retry_advice(start.facts, come_back, jitter)
+        self.rounds.set_retry_advice(start.facts, retry_delay, jitter)
         self.discovery = Discovery(
             start.discovery,
             start.listing,
@@ -135,7 +135,7 @@
                     out=len(rounds.flights),
                     clients=len(self.clients.open),
                     to_nodes=self.pools.size(),
-                    bound=min(1e6, round(rounds.balancer.limit, 1)),
+                    bound=min(1e6, round(rounds.balancer.open_limit, 1)),
                     rounds=rounds.round_count,
                     decisions_ms=round(rounds.decision_time - spent),
                     turned_away=away,
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -8,12 +8,24 @@
 answer(proxy, number, status) · ordered(number, accepted, text) · log(what, facts).
 
 One build is on trial at a time. A build that is offered meanwhile rolls back the trial or waits for its end,
-depending on `supersede`. Only promotion is ever held up: BACK votes and an operator's rollback always count.
+depending on `supersede`. Only promotion is ever held up: ROLL_BACK votes and an operator's rollback always count.
 Proxies vote HOLD while a site that carries the build is unreachable for them; while a majority of the present
-proxies vote HOLD, earlier ON votes promote nothing.
+proxies vote HOLD, earlier PROMOTE votes promote nothing.
 """
 
-from ..interface import BACK, FULL, GOING_BACK, HOLD, MOOT, NO_VOTE, ON, RELEASED, SUCCEEDED, TRIAL, WITHDRAWN
+from ..interface import (
+    ROLL_BACK,
+    FULL,
+    ROLLING_BACK,
+    HOLD,
+    MOOT,
+    NO_VOTE,
+    PROMOTE,
+    RELEASED,
+    SUCCEEDED,
+    TRIAL,
+    WITHDRAWN,
+)
 
 NODE_START_TIMEOUT = 8000.0  # ms; after it a stage proceeds although some of its nodes are not ready
 
@@ -170,8 +182,8 @@
     def vote(self, proxy, number, stage, version, verdict, figures=""):
         """A proxy's verdict on a build; answered with SUCCEEDED, with MOOT if the vote does not apply to the
         present stage, or with FULL above the rate limit. `figures` is the evidence as text, for the log."""
-        # BACK votes have a token bucket of their own: a flood of ON votes must not crowd them out.
-        bucket = verdict == BACK
+        # ROLL_BACK votes have a token bucket of their own: a flood of PROMOTE votes must not crowd them out.
+        bucket = verdict == ROLL_BACK
         tokens, refilled_at = self.tokens[bucket]
         tokens = min(2 * self.allowance, tokens + (self.now - refilled_at) * self.allowance / 1000)
         self.tokens[bucket] = max(tokens - 1, 0.0) if tokens >= 1 else tokens, self.now
@@ -180,11 +192,11 @@
             self.out.answer(proxy, number, FULL)
             return
         valid = version == self.version and (
-            verdict in (ON, HOLD)
+            verdict in (PROMOTE, HOLD)
             and self.phase == TRIAL
             and stage == self.stage
             or verdict == NO_VOTE
-            or verdict == BACK
+            or verdict == ROLL_BACK
             and self.phase in (TRIAL, RELEASED)
             and self.version > 1
         )
@@ -261,7 +273,7 @@
         return None
 
     def required_on_votes(self):
-        """Number of ON votes that a promotion needs; never more than there are present proxies, so that
+        """Number of PROMOTE votes that a promotion needs; never more than there are present proxies, so that
         vanished ones do not block it."""
         if self.lease is None:
             return self.on_votes
@@ -304,9 +316,9 @@
         if (
             self.phase in (TRIAL, RELEASED)
             and self.version > 1
-            and len(self.valid_votes(BACK)) >= self.back_votes
+            and len(self.valid_votes(ROLL_BACK)) >= self.back_votes
         ):
-            self.roll_back(self.describe_votes(BACK))
+            self.roll_back(self.describe_votes(ROLL_BACK))
         elif self.phase == TRIAL:
             if self.queue and self.supersede:
                 self.roll_back("superseded by the next build")
@@ -315,12 +327,12 @@
                     self.soak_start = self.now
             elif (
                 self.now - self.soak_start >= self.soak
-                and len(self.valid_votes(ON)) >= self.required_on_votes()
+                and len(self.valid_votes(PROMOTE)) >= self.required_on_votes()
                 and self.may_promote()
                 and not self.majority_holds()
             ):
                 self.promote()
-        elif self.phase == GOING_BACK:
+        elif self.phase == ROLLING_BACK:
             # Where nodes of the previous build were already removed, their replacements start first: the
             # fleet must never be empty.
             previous = [
@@ -355,7 +367,7 @@
         self.place_nodes(self.version, max(1, round(self.machine_shares[self.stage] * self.size)))
 
     def promote(self):
-        why = self.describe_votes(ON) or "soak time elapsed"
+        why = self.describe_votes(PROMOTE) or "soak time elapsed"
         if self.stage + 1 < len(self.caps):
             self.enter(TRIAL, self.stage + 1, why)
             self.place_stage_nodes()
@@ -365,5 +377,5 @@
 
     def roll_back(self, why):
         self.out.log("back", dict(build=self.version, why=why))
-        self.enter(GOING_BACK, self.stage, why)
+        self.enter(ROLLING_BACK, self.stage, why)
         self.place_nodes(self.released_version, self.size)
--- a/gannetfront/sites/monitor.py
+++ b/gannetfront/sites/monitor.py
@@ -12,7 +12,7 @@
     HOLD,
     MOOT,
     NO_VOTE,
-    ON,
+    PROMOTE,
     READY,
     RESET,
     TIMEOUT,
@@ -134,7 +134,7 @@
         """(stage, build, verdict) to vote now on the trial under way, or None. Votes 'on' cast before a loss,
         also those of proxies that cannot be reached now, stay valid for seconds: without a vote to hold they
         would promote the stage in spite of the loss."""
-        if phase == TRIAL and self.withholds_vote(ON, version, entries):
+        if phase == TRIAL and self.withholds_vote(PROMOTE, version, entries):
             if (stage, version) == self.held_stage and now < self.hold_sent_at + HOLD_INTERVAL:
                 return None
             self.held_stage, self.hold_sent_at = (stage, version), now
--- a/gannetfront/sites/shedding.py
+++ b/gannetfront/sites/shedding.py
@@ -10,7 +10,7 @@
 
 from collections import Counter, deque
 
-from ..interface import CANCELLED, MOOT, ON, RESET, TIMEOUT, UNCONNECTED
+from ..interface import CANCELLED, MOOT, PROMOTE, RESET, TIMEOUT, UNCONNECTED
 from .ramp import Ramp
 
 WINDOW_TICKS = 16  # over which requests are counted
@@ -216,4 +216,4 @@
         promoted while one of them is not fully in use, and a build that is sent no dispatches at all cannot
         be judged either way."""
         weights = [self.weights.get(site, 1.0) for site in sites]
-        return verdict == ON and min(weights, default=1.0) < 1 or bool(weights) and max(weights) == 0
+        return verdict == PROMOTE and min(weights, default=1.0) < 1 or bool(weights) and max(weights) == 0
