--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -309,7 +309,7 @@
             self.roll_back(self.describe_votes(BACK))
         elif self.phase == TRIAL:
             if self.queue and self.supersede:
-                self.roll_back("superseded by the next build")
+                self.roll_back("the next build is due")
             elif self.soak_start is None:
                 if all(s.ready for s in current) or self.now - self.nodes_placed_at >= NODE_START_TIMEOUT:
                     self.soak_start = self.now
@@ -332,7 +332,7 @@
             ):
                 self.remove_nodes(self.version)
                 if not current:
-                    self.enter(WITHDRAWN, self.stage, "all of its nodes have ended")
+                    self.enter(WITHDRAWN, self.stage, "its machines are gone")
         if self.phase in (RELEASED, WITHDRAWN) and self.queue and self.may_promote():
             if self.phase == RELEASED:
                 self.released_version = self.version
@@ -355,7 +355,7 @@
         self.place_nodes(self.version, max(1, round(self.machine_shares[self.stage] * self.size)))
 
     def promote(self):
-        why = self.describe_votes(ON) or "soak time elapsed"
+        why = self.describe_votes(ON) or "by the clock"
         if self.stage + 1 < len(self.caps):
             self.enter(TRIAL, self.stage + 1, why)
             self.place_stage_nodes()
