--- a/gannetfront/release/webhooks.py
+++ b/gannetfront/release/webhooks.py
@@ -1,8 +1,9 @@
-"""Webhooks of build pipelines, checked without I/O: who sent it, when, whether it is a repeat's twin, and what it offers.
+"""Authentication and parsing of the webhooks of build pipelines. No I/O.
 
-Forms: Standard Webhooks (`webhook-id`, `webhook-timestamp`, `webhook-signature`), the `X-Hub-Signature-256` form with its
-delivery id, and CloudEvents 1.0 over HTTP, structured or binary, signed in one of the two ways. The signature is checked
-over the raw bytes, in constant time, against every secret that is valid: two of them during a rotation.
+Accepted forms: Standard Webhooks (`webhook-id`, `webhook-timestamp`, `webhook-signature`), the
+`X-Hub-Signature-256` form with its delivery id, and CloudEvents 1.0 over HTTP, structured or binary, signed
+in one of these two ways. The signature is verified over the raw bytes, in constant time, against every valid
+secret: there are two of them during a rotation.
 """
 
 import base64
@@ -12,12 +13,13 @@
 
 from ..wire.http import header
 
-LONGEST = 65536  # bytes of a delivery
-ID_LIMIT = 200
+LONGEST = 65536  # bytes of a delivery's body
+MAX_ID_LENGTH = 200  # characters of a delivery id
 
 
 class Refused(Exception):
-    """Answered with `status`; `why` is for the sender and the log, never with a secret or a signature in it."""
+    """A webhook that is answered with the HTTP status `status`. `why` goes to the sender and the log and
+    never contains a secret or a signature."""
 
     def __init__(self, status, why):
         super().__init__(why)
@@ -25,111 +27,127 @@
 
 
 class Pipeline:
-    """`secrets` in bytes, the valid ones now; builds from `first` to `last` may be offered."""
+    """A build pipeline: its currently valid `secrets` (bytes) and the builds that it may offer, from `first`
+    to `last`."""
 
     def __init__(self, name, secrets, first=2, last=65535):
         self.name, self.secrets, self.first, self.last = name, list(secrets), first, last
 
 
 def secret_of(text):
-    """Bytes of a secret as settings hold it: `whsec_` and base64, or the text itself; raises ValueError."""
+    """The secret's bytes from its text in the settings: base64 after the prefix `whsec_`, or the text itself.
+    Raises ValueError."""
     if text.startswith("whsec_"):
         try:
-            made = base64.b64decode(text[6:], validate=True)
+            secret = base64.b64decode(text[6:], validate=True)
         except binascii.Error:
-            raise ValueError("a whsec_ secret that is no base64") from None
+            raise ValueError("webhook secret: the part after whsec_ is not valid base64") from None
     else:
-        made = text.encode()
-    if len(made) < 16:
-        raise ValueError("a secret under 16 bytes")
-    return made
+        secret = text.encode()
+    if len(secret) < 16:
+        raise ValueError("webhook secret is shorter than 16 bytes")
+    return secret
 
 
-def signed(secrets, data, given):
-    """True if one of the `given` digests is that of `data` under one of the secrets. Every pair is compared."""
-    fine = False
+def has_valid_signature(secrets, data, digests):
+    """True if one of `digests` is the digest of `data` under one of the secrets. All pairs are compared, so
+    that the time taken does not reveal which one matched."""
+    valid = False
     for secret in secrets:
-        want = hmac.digest(secret, data, "sha256")
-        for one in given:
-            fine = hmac.compare_digest(want, one) or fine
-    return fine
+        expected = hmac.digest(secret, data, "sha256")
+        for candidate in digests:
+            valid = hmac.compare_digest(expected, candidate) or valid
+    return valid
 
 
-def text_of(headers, name):
+def header_text(headers, name):
     raw = header(headers, name)
     return None if raw is None else raw.decode("latin-1")
 
 
-def check(pipeline, headers, body, wall, tolerance):
-    """(delivery id, build) of a delivery that may be believed; `wall` and `tolerance` in seconds. Raises Refused."""
+def check(pipeline, headers, body, unix_time, tolerance):
+    """(delivery id, build) of an authentic and valid delivery. `unix_time` is the present time and `tolerance`
+    the permitted deviation of the delivery's timestamp, both in seconds. Raises Refused."""
     if len(body) > LONGEST:
         raise Refused(413, f"past {LONGEST} bytes")
-    standard, hub = text_of(headers, b"webhook-signature"), text_of(headers, b"x-hub-signature-256")
-    if standard is not None:
-        ident, stamp = text_of(headers, b"webhook-id") or "", text_of(headers, b"webhook-timestamp") or ""
-        if not stamp.isdigit() or len(stamp) > 12:
+    standard_signature, hub_signature = (
+        header_text(headers, b"webhook-signature"),
+        header_text(headers, b"x-hub-signature-256"),
+    )
+    if standard_signature is not None:
+        delivery_id, timestamp = (
+            header_text(headers, b"webhook-id") or "",
+            header_text(headers, b"webhook-timestamp") or "",
+        )
+        if not timestamp.isdigit() or len(timestamp) > 12:
             raise Refused(400, "webhook-timestamp is no time")
-        given = []
-        for part in standard.split(" ")[:8]:
+        digests = []
+        for part in standard_signature.split(" ")[:8]:
             version, _, digest = part.partition(",")
             if version == "v1":
                 try:
-                    given.append(base64.b64decode(digest, validate=True))
+                    digests.append(base64.b64decode(digest, validate=True))
                 except (binascii.Error, ValueError):
                     pass
-        if not signed(pipeline.secrets, f"{ident}.{stamp}.".encode("latin-1") + body, given):
+        if not has_valid_signature(
+            pipeline.secrets, f"{delivery_id}.{timestamp}.".encode("latin-1") + body, digests
+        ):
             raise Refused(401, "no signature of this pipeline fits")
-        # Only after the signature: an unsigned sender learns nothing of our clock.
-        if abs(wall - int(stamp)) > tolerance:
+        # Checked only after the signature, so that an unauthenticated sender learns nothing of this clock.
+        if abs(unix_time - int(timestamp)) > tolerance:
             raise Refused(401, "its time is too far from ours")
-    elif hub is not None:
-        ident = text_of(headers, b"x-github-delivery") or text_of(headers, b"x-delivery-id") or ""
-        kind, _, digest = hub.partition("=")
+    elif hub_signature is not None:
+        delivery_id = (
+            header_text(headers, b"x-github-delivery") or header_text(headers, b"x-delivery-id") or ""
+        )
+        algorithm, _, digest = hub_signature.partition("=")
         try:
-            given = [bytes.fromhex(digest)] if kind == "sha256" else []
+            digests = [bytes.fromhex(digest)] if algorithm == "sha256" else []
         except ValueError:
-            given = []
-        if not signed(pipeline.secrets, body, given):
+            digests = []
+        if not has_valid_signature(pipeline.secrets, body, digests):
             raise Refused(401, "no signature of this pipeline fits")
     else:
         raise Refused(401, "no signature")
-    event, cloud = event_of(headers, body)
-    ident = cloud or ident
-    if not 0 < len(ident) <= ID_LIMIT or not ident.isprintable():
+    event, cloud_event_id = parse_event(headers, body)
+    delivery_id = cloud_event_id or delivery_id
+    if not 0 < len(delivery_id) <= MAX_ID_LENGTH or not delivery_id.isprintable():
         raise Refused(400, "no delivery id of 1 to 200 characters")
     build = event.get("build")
     if not isinstance(build, int) or isinstance(build, bool):
         raise Refused(422, "'build' must be a whole number")
     if not pipeline.first <= build <= pipeline.last:
         raise Refused(403, f"this pipeline may offer builds {pipeline.first} to {pipeline.last}")
-    return ident, build
+    return delivery_id, build
 
 
-def event_of(headers, body):
-    """(data, CloudEvents source and id or None)."""
-    kind = (text_of(headers, b"content-type") or "").partition(";")[0].strip().lower()
+def parse_event(headers, body):
+    """(the event's data, its CloudEvents source and id as one text or None). Raises Refused."""
+    content_type = (header_text(headers, b"content-type") or "").partition(";")[0].strip().lower()
     try:
-        told = json.loads(body)
+        payload = json.loads(body)
     except (ValueError, RecursionError):
         raise Refused(400, "the body is no JSON") from None
-    if not isinstance(told, dict):
+    if not isinstance(payload, dict):
         raise Refused(400, "the body is no JSON object")
-    if kind == "application/cloudevents+json":
-        version, source, ident, data = (told.get(n) for n in ("specversion", "source", "id", "data"))
+    if content_type == "application/cloudevents+json":
+        version, source, event_id, data = (payload.get(n) for n in ("specversion", "source", "id", "data"))
     elif header(headers, b"ce-specversion") is not None:
-        version, source, ident = (text_of(headers, n) for n in (b"ce-specversion", b"ce-source", b"ce-id"))
-        data = told
+        version, source, event_id = (
+            header_text(headers, n) for n in (b"ce-specversion", b"ce-source", b"ce-id")
+        )
+        data = payload
     else:
-        return told, None
+        return payload, None
     if (
         version != "1.0"
         or not isinstance(source, str)
-        or not isinstance(ident, str)
+        or not isinstance(event_id, str)
         or not source
-        or not ident
+        or not event_id
     ):
         raise Refused(400, "no CloudEvents 1.0: specversion, source and id are needed")
     if not isinstance(data, dict):
         raise Refused(422, "the event has no data object")
-    # An id is unique within its source only.
-    return data, f"{source} {ident}"
+    # CloudEvents ids are unique only within their source.
+    return data, f"{source} {event_id}"
