--- a/gannetfront/release/store.py
+++ b/gannetfront/release/store.py
@@ -1,13 +1,15 @@
-"""What the controller must not forget, in SQLite: deliveries answered, offers, stages, places. Each change is on disk before
-anyone is told (journal in WAL, every commit synced). One file, one schema version, migrated forward at the start.
-"""
+"""The controller's durable state in an SQLite file: answered deliveries, moves, rollout state, the lease
+of the leader, operators' orders and outgoing messages.
+
+Each change is on disk before anyone is notified of it (journal mode WAL, every commit synced). The schema
+has a version; an older file is migrated when it is opened."""
 
 import json
 import sqlite3
 
 from .. import host
 
-STEPS = (  # the schema, version by version; a store is brought up one step at a time
+STEPS = (  # the migration to each schema version from the one before; they are applied one at a time
     """CREATE TABLE deliveries (pipeline TEXT, id TEXT, build INTEGER, at REAL, status INTEGER, answer TEXT,
                                 PRIMARY KEY (pipeline, id));
        CREATE TABLE moves (number INTEGER PRIMARY KEY, at REAL, what TEXT, facts TEXT);
@@ -23,126 +25,140 @@
 )
 
 
-BUSY = 1.0  # seconds that a write waits for another process's
-STARTS = 10  # times that long, at the start: whoever made the file may be waiting for a slow disk
+BUSY = 1.0  # seconds that a write waits for the lock of another process
+STARTS = 10  # attempts to open the file: the process that creates it may be waiting for a slow disk
 
 
 class BadStore(Exception):
-    pass
+    """The file cannot be opened, is no store, or has a newer schema."""
 
 
 class Fenced(Exception):
-    """Another controller has taken its turn: nothing that this one decides counts any more."""
+    """Another controller has become the leader; the decisions of this one no longer count."""
 
 
 class Store:
-    """Times are seconds of the calendar clock: they must mean the same after a restart. `epoch` is that of the turn in which
-    its owner acts; every write of decisions is fenced by it. None: nobody takes turns."""
+    """The store in one file. Times are seconds of the calendar clock, because they must mean the same
+    after a restart. `epoch` is the epoch under which the owner leads, and every write of decisions is
+    fenced by it; None: it does not lead, or there is no election, and writes are not fenced."""
 
     def __init__(self, path):
+        """Opens the file, or creates it. Raises BadStore."""
         self.epoch, self.read_at = None, None
-        for left in range(STARTS - 1, -1, -1):
+        for attempts_left in range(STARTS - 1, -1, -1):
             try:
-                return self.begin(path)
-            except sqlite3.OperationalError as trouble:
-                # Two that start together on a new file: its way into WAL mode is not waited for as other writes are.
-                if "locked" not in str(trouble) or not left:
-                    raise BadStore(f"{path}: {trouble}") from None
+                return self.open(path)
+            except sqlite3.OperationalError as error:
+                # The busy timeout does not cover the switch to WAL mode, which two processes that start
+                # together on a new file both make.
+                if "locked" not in str(error) or not attempts_left:
+                    raise BadStore(f"{path}: {error}") from None
                 host.sleep(100 * BUSY)
-            except sqlite3.Error as trouble:
-                raise BadStore(f"{path}: {trouble}") from None
+            except sqlite3.Error as error:
+                raise BadStore(f"{path}: {error}") from None
 
-    def begin(self, path):
+    def open(self, path):
+        """Connects and migrates the schema. Raises sqlite3.Error or BadStore."""
         self.db = sqlite3.connect(path, isolation_level=None, timeout=BUSY, check_same_thread=False)
         try:
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
-            # Looked at before anything is locked: whoever only reads must not hold up the controller that acts.
-            while self.version() < len(STEPS):
-                # Each version in one step: killed within it, the store is that of the version before. Two that start at
-                # once take turns, and the second finds it done.
-                with self.step(fenced=False):
-                    version = self.version()
+            # The version is read before anything is locked: a process that only reads must not delay the
+            # leader's writes.
+            while self.schema_version() < len(STEPS):
+                # One transaction for each version: a process killed within it leaves the version before. The
+                # second of two processes that start at once finds the version already there.
+                with self.transaction(fenced=False):
+                    version = self.schema_version()
                     if version < len(STEPS):
                         for statement in STEPS[version].split(";"):
                             self.db.execute(statement)
                         self.db.execute(f"PRAGMA user_version={version + 1}")
-            if self.version() > len(STEPS):
+            if self.schema_version() > len(STEPS):
                 raise BadStore(
-                    f"{path}: written by a later version ({self.version()}, known here {len(STEPS)})"
+                    f"{path}: written by a later version (schema {self.schema_version()}, "
+                    f"newest supported {len(STEPS)})"
                 )
         except BaseException:
             self.db.close()
             raise
 
-    def version(self):
+    def schema_version(self):
         return self.db.execute("PRAGMA user_version").fetchone()[0]
 
-    # ---- whose turn it is ----
+    # ---- leader election ----
 
     def turn(self):
-        """(epoch, holder, beat); all empty where there has been none."""
+        """(epoch, leader's name or '', heartbeat); (0, '', 0) where there was never a leader."""
         return self.db.execute("SELECT epoch, holder, beat FROM acting").fetchone() or (0, "", 0)
 
-    def take_turn(self, holder, seen):
-        """The new epoch, or None where somebody else has moved since `seen`. Epochs only rise, also past those of a store
-        that was lost: they are no lower than the calendar."""
-        with self.step(fenced=False):
-            if self.turn() != tuple(seen):
+    def take_turn(self, name, observed):
+        """Makes `name` the leader and returns the new epoch, or None where the lease has changed since it
+        was read as `observed`. An epoch is never lower than the calendar time in ms, so that epochs also
+        rise past those of a store that was lost."""
+        with self.transaction(fenced=False):
+            if self.turn() != tuple(observed):
                 return None
-            epoch = max(seen[0] + 1, int(host.wall() * 1000))
+            epoch = max(observed[0] + 1, int(host.wall() * 1000))
             self.db.execute(
                 "INSERT INTO acting VALUES (1,?,?,1) ON CONFLICT (one) DO UPDATE SET epoch=excluded.epoch, "
                 "holder=excluded.holder, beat=1",
-                (epoch, holder),
+                (epoch, name),
             )
         self.epoch = epoch
         return epoch
 
     def keep_turn(self):
-        with self.step():
+        """Renews the leader's lease by a heartbeat. Raises Fenced."""
+        with self.transaction():
             self.db.execute("UPDATE acting SET beat=beat+1")
 
     def leave_turn(self):
-        with self.step():
+        """Gives up the lease, so that a standby may take over at once. Raises Fenced."""
+        with self.transaction():
             self.db.execute("UPDATE acting SET holder=''")
         self.epoch = None
 
-    def step(self, fenced=True):
+    def transaction(self, fenced=True):
+        """Begins a write transaction, to be used in a `with` statement. If `fenced`, raises Fenced where
+        another controller has become the leader."""
         self.db.execute("BEGIN IMMEDIATE")
         if fenced and self.epoch is not None and self.turn()[0] != self.epoch:
             self.db.execute("ROLLBACK")
             raise Fenced()
-        return Step(self.db)
+        return Transaction(self.db)
+
+    # ---- deliveries, moves and the rollout's state ----
 
-    def answered(self, pipeline, ident):
-        """(status, answer) given to this delivery before, or None."""
+    def answered(self, pipeline, delivery_id):
+        """The (status, answer) that this delivery got before, or None."""
         return self.db.execute(
-            "SELECT status, answer FROM deliveries WHERE pipeline=? AND id=?", (pipeline, ident)
+            "SELECT status, answer FROM deliveries WHERE pipeline=? AND id=?", (pipeline, delivery_id)
         ).fetchone()
 
-    def deliver(self, pipeline, ident, build, status, answer, saved):
-        """The delivery and what it changed, in one step."""
-        with self.step():
+    def deliver(self, pipeline, delivery_id, build, status, answer, saved):
+        """Stores a delivery, its answer and the rollout's state after it, in one transaction."""
+        with self.transaction():
             self.db.execute(
                 "INSERT INTO deliveries VALUES (?,?,?,?,?,?)",
-                (pipeline, ident, build, host.wall(), status, answer),
+                (pipeline, delivery_id, build, host.wall(), status, answer),
             )
             self.save(saved)
 
     def record(self, moves, saved, orders=(), letters=()):
-        """A round in one step: its moves, as (what, facts), where it left things, the orders it answered, as (number, fine,
-        text), and what is to be sent, as (receiver, build, body)."""
-        with self.step():
+        """Stores the outcome of a round in one transaction: its moves, as (what, facts), the rollout's
+        state after it, the orders that it answered, as (number, accepted, text), and the messages to be
+        sent, as (receiver, build, body)."""
+        with self.transaction():
             for what, facts in moves:
                 self.db.execute(
                     "INSERT INTO moves (at, what, facts) VALUES (?,?,?)",
                     (host.wall(), what, json.dumps(facts)),
                 )
-            for number, fine, text in orders:
+            for number, accepted, text in orders:
                 self.db.execute(
                     "UPDATE orders SET state=?, answer=? WHERE number=?",
-                    ("done" if fine else "refused", text, number),
+                    ("done" if accepted else "refused", text, number),
                 )
             for letter in letters:
                 self.db.execute(
@@ -158,11 +174,12 @@
         )
 
     def restore(self):
-        """(saved, seconds ago), or None for a store that is new."""
+        """(the rollout's state, seconds since it was stored), or None in a new store."""
         row = self.db.execute("SELECT saved, at FROM state").fetchone()
         return row and (json.loads(row[0]), max(0.0, host.wall() - row[1]))
 
     def history(self, most=100):
+        """The latest `most` moves, oldest first, each as a dict of number, at, what and its facts."""
         return [
             dict(number=n, at=at, what=what, **json.loads(facts))
             for n, at, what, facts in self.db.execute(
@@ -171,8 +188,9 @@
         ][::-1]
 
     def forget(self, older_than):
-        """Deliveries past the time in which a pipeline repeats them, in seconds; with them what was sent or given up."""
-        with self.step(fenced=False):
+        """Deletes what is older than `older_than` seconds, the time within which a pipeline may repeat a
+        delivery: deliveries, messages that were sent or given up, and answered orders."""
+        with self.transaction(fenced=False):
             self.db.execute("DELETE FROM deliveries WHERE at < ?", (host.wall() - older_than,))
             self.db.execute("DELETE FROM outbox WHERE state != 'due' AND at < ?", (host.wall() - older_than,))
             self.db.execute("DELETE FROM orders WHERE state != 'new' AND at < ?", (host.wall() - older_than,))
@@ -180,19 +198,20 @@
     # ---- operators' orders ----
 
     def put_order(self, kind, build, by, why):
-        """Its number; whichever controller acts takes it up."""
-        with self.step(fenced=False):
+        """Stores an order, which the leader reads in its next round. Returns its number."""
+        with self.transaction(fenced=False):
             return self.db.execute(
                 "INSERT INTO orders (at, kind, build, by_whom, why, state, answer) VALUES (?,?,?,?,?,'new','')",
                 (host.wall(), kind, build, by, why),
             ).lastrowid
 
     def order(self, number):
+        """(state, answer) of an order."""
         return self.db.execute("SELECT state, answer FROM orders WHERE number=?", (number,)).fetchone()
 
     def withdraw_order(self, number):
-        """True where nobody had taken it up: it never will be."""
-        with self.step(fenced=False):
+        """Withdraws an order that has no answer yet. True if it was withdrawn."""
+        with self.transaction(fenced=False):
             return (
                 self.db.execute(
                     "UPDATE orders SET state='withdrawn' WHERE number=? AND state='new'", (number,)
@@ -201,7 +220,8 @@
             )
 
     def new_orders(self):
-        """Orders not yet answered, as (number, kind, build, by, why); looks at the file only where another wrote to it."""
+        """Orders without an answer, as (number, kind, build, by, why). They are queried only if another
+        connection has written to the file since the last call; otherwise the list is empty."""
         version = self.db.execute("PRAGMA data_version").fetchone()[0]
         if version == self.read_at:
             return []
@@ -210,41 +230,47 @@
             "SELECT number, kind, build, by_whom, why FROM orders WHERE state='new' ORDER BY number"
         ).fetchall()
 
-    # ---- what is sent to receivers ----
+    # ---- messages to receivers ----
 
     def letters(self, state, receiver=None, most=256):
-        """(number, receiver, build, body, at, tries, why), oldest first."""
+        """Up to `most` messages in `state` (due, done or dead), oldest first, as (number, receiver,
+        build, body, at, attempts, why)."""
         return self.db.execute(
             "SELECT number, receiver, build, body, at, tries, why FROM outbox WHERE state=? AND "
             "receiver=ifnull(?, receiver) ORDER BY number LIMIT ?",
             (state, receiver, most),
         ).fetchall()
 
-    def keep_letter(self, number, tries, state, why):
-        with self.step():
+    def keep_letter(self, number, attempts, state, why):
+        """Stores a message's state after an attempt. Raises Fenced."""
+        with self.transaction():
             self.db.execute(
-                "UPDATE outbox SET tries=?, state=?, why=? WHERE number=?", (tries, state, why[:200], number)
+                "UPDATE outbox SET tries=?, state=?, why=? WHERE number=?",
+                (attempts, state, why[:200], number),
             )
 
     def send_again(self, numbers=None):
-        """Dead letters become due again; all of them, or those numbered. How many."""
-        with self.step(fenced=False):
-            some = [n for n, *_ in self.letters("dead", most=10**6) if numbers is None or n in numbers]
-            for number in some:
+        """Makes dead letters due again: those in `numbers`, or all. Returns how many there were."""
+        with self.transaction(fenced=False):
+            dead = [n for n, *_ in self.letters("dead", most=10**6) if numbers is None or n in numbers]
+            for number in dead:
                 self.db.execute("UPDATE outbox SET state='due', tries=0 WHERE number=?", (number,))
-            return len(some)
+            return len(dead)
+
+    # ---- backup ----
 
     def snapshot(self, path):
-        """A whole copy, taken while a controller goes on writing."""
-        with sqlite3.connect(path) as other:
-            self.db.backup(other)
-        other.close()
+        """Writes a consistent copy to `path`, also while a controller goes on writing."""
+        with sqlite3.connect(path) as copy:
+            self.db.backup(copy)
+        copy.close()
 
     def take_from(self, other, by, why):
-        """All of `other` in one step, but for whose turn it is: epochs must not fall."""
+        """Replaces the contents by those of the store `other` in one transaction. The epoch becomes the
+        higher one of the two, because epochs must not fall, and there is no leader afterwards."""
         epoch = max(self.turn()[0], other.turn()[0])
         other.snapshot(":memory:")  # raises sqlite3.Error where it is damaged, before anything is replaced
-        with self.step(fenced=False):
+        with self.transaction(fenced=False):
             for table in ("deliveries", "moves", "state", "orders", "outbox"):
                 self.db.execute(f"DELETE FROM {table}")
                 rows = other.db.execute(f"SELECT * FROM {table}").fetchall()
@@ -264,26 +290,32 @@
 
 
 class Aside:
-    """A Store whose calls are made in a thread of their own, one after the other, in the order in which they come: whoever
-    calls waits for the disk, the other greenlets of the controller go on."""
+    """A Store whose methods run in one worker thread, in the order of the calls. The calling greenlet
+    waits for the disk while the other greenlets of the controller go on."""
 
     def __init__(self, store):
         self.__dict__.update(store=store, worker=host.Worker())
 
     def __getattr__(self, name):
-        real = getattr(self.store, name)
-        return (lambda *fields, **named: self.worker.call(real, *fields, **named)) if callable(real) else real
+        attribute = getattr(self.store, name)
+        return (
+            (lambda *args, **kwargs: self.worker.call(attribute, *args, **kwargs))
+            if callable(attribute)
+            else attribute
+        )
 
     def __setattr__(self, name, value):
         setattr(self.store, name, value)
 
 
-class Step:
+class Transaction:
+    """Context manager of a transaction that has begun: commits, or rolls back after an exception."""
+
     def __init__(self, db):
         self.db = db
 
     def __enter__(self):
         return self
 
-    def __exit__(self, kind, *_):
-        self.db.execute("ROLLBACK" if kind else "COMMIT")
+    def __exit__(self, error_type, *_):
+        self.db.execute("ROLLBACK" if error_type else "COMMIT")
--- a/gannetfront/release/webhooks.py
+++ b/gannetfront/release/webhooks.py
@@ -2,9 +2,8 @@
 
 Accepted forms: Standard Webhooks (`webhook-id`, `webhook-timestamp`, `webhook-signature`), the
 `X-Hub-Signature-256` form with its delivery id, and CloudEvents 1.0 over HTTP, structured or binary, signed
-in one of these two ways. The signature is verified over the raw bytes, in constant time, against every valid
-secret: there are two of them during a rotation.
-"""
+in one of these two ways. The signature is verified over the raw bytes, in constant time, against every
+valid secret: there are two of them during a rotation."""
 
 import base64
 import binascii
@@ -27,16 +26,16 @@
 
 
 class Pipeline:
-    """A build pipeline: its currently valid `secrets` (bytes) and the builds that it may offer, from `first`
-    to `last`."""
+    """A build pipeline: its currently valid `secrets` (bytes) and the builds that it may offer, from
+    `first` to `last`."""
 
     def __init__(self, name, secrets, first=2, last=65535):
         self.name, self.secrets, self.first, self.last = name, list(secrets), first, last
 
 
 def secret_of(text):
-    """The secret's bytes from its text in the settings: base64 after the prefix `whsec_`, or the text itself.
-    Raises ValueError."""
+    """The secret's bytes from its text in the settings: base64 after the prefix `whsec_`, or the text
+    itself. Raises ValueError."""
     if text.startswith("whsec_"):
         try:
             secret = base64.b64decode(text[6:], validate=True)
@@ -66,8 +65,8 @@
 
 
 def check(pipeline, headers, body, unix_time, tolerance):
-    """(delivery id, build) of an authentic and valid delivery. `unix_time` is the present time and `tolerance`
-    the permitted deviation of the delivery's timestamp, both in seconds. Raises Refused."""
+    """(delivery id, build) of an authentic and valid delivery. `unix_time` is the present time and
+    `tolerance` the permitted deviation of the delivery's timestamp, both in seconds. Raises Refused."""
     if len(body) > LONGEST:
         raise Refused(413, f"past {LONGEST} bytes")
     standard_signature, hub_signature = (
