--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -1,6 +1,7 @@
-"""Webhooks out on sockets: one greenlet a receiver, each try with a time limit; what became of it is written down first.
+"""Delivery of outgoing webhooks over sockets: one greenlet per receiver, each attempt with a time limit.
 
-A receiver that hangs holds up its own messages only: nothing of this is waited for where stages move.
+The outcome of an attempt is stored before anything else follows from it. A receiver that hangs delays only
+its own messages: stage changes never wait for a delivery.
 """
 
 import sqlite3
@@ -14,18 +15,27 @@
 from .store import Fenced
 from .webhooks import secret_of
 
-HELD, LOOK = 256, 1000.0
+# Messages of one receiver that are read from the store at once, and the longest time (ms) between two reads.
+MAX_LOADED, POLL_INTERVAL_MS = 256, 1000.0
 
 
 class Sender:
-    def __init__(self, settings, store, chance, log):
-        """`settings` is a checked Receiver; raises ValueError or OSError for one that cannot work."""
-        self.name, self.store, self.log, self.limit = settings.name, store, log, settings.answer_limit
+    """Sends the stored messages of one receiver. It is the writer of that receiver's Outbox."""
+
+    def __init__(self, settings, store, random, log):
+        """`settings` is a validated Receiver message; `random` spreads the retries. Raises ValueError or
+        OSError where the settings cannot work."""
+        self.name, self.store, self.log, self.answer_timeout = (
+            settings.name,
+            store,
+            log,
+            settings.answer_limit,
+        )
         url = urlsplit(settings.url)
         if url.scheme not in ("http", "https") or not url.hostname:
-            raise ValueError(f"receiver {self.name}: '{settings.url}' is no http or https address")
-        self.at = f"{url.hostname}:{url.port or {'http': 80, 'https': 443}[url.scheme]}"
-        host.address(self.at)
+            raise ValueError(f"receiver {self.name}: '{settings.url}' is not an http or https URL")
+        self.host_and_port = f"{url.hostname}:{url.port or {'http': 80, 'https': 443}[url.scheme]}"
+        host.address(self.host_and_port)  # raises where the address is invalid
         self.host_name = url.hostname
         self.path = (url.path or "/") + (f"?{url.query}" if url.query else "")
         self.tls = (
@@ -33,85 +43,120 @@
         )
         self.secret = secret_of((host.read_file(settings.secret_file) or b"").decode().strip())
         self.outbox = Outbox(
-            chance, settings.most_tries, settings.first_wait, settings.longest_wait, settings.at_once
+            random, settings.most_tries, settings.first_wait, settings.longest_wait, settings.at_once
+        )
+        # Results of attempts and wake-ups; messages in memory by number; `generation` tells results of
+        # attempts that began before the last reload from current ones.
+        self.results, self.messages, self.stopped, self.generation = (
+            host.Mailbox(4 * MAX_LOADED),
+            {},
+            False,
+            0,
         )
-        self.box, self.letters, self.stopped, self.life = host.Mailbox(4 * HELD), {}, False, 0
-        self.acts = []  # what a round of the outbox decided: done after it, as it waits for the store's disk
+        # Decisions of a round of the outbox. They are carried out after the round, because they wait for the
+        # store's disk.
+        self.actions = []
 
     def begin(self):
-        """With each turn: what is due is read from the store."""
+        """Starts sending when this controller becomes the leader; messages that are due are read from the
+        store."""
         self.outbox.clear()
-        self.letters, self.life = {}, self.life + 1
+        self.messages, self.generation = {}, self.generation + 1
         host.spawn(self.run)
 
     def wake(self):
-        if not len(self.box):
-            self.box.put(None)
+        """Makes the sender look into the store at once."""
+        if not len(self.results):
+            self.results.put(None)
 
     def run(self):
-        events, life = [], self.life
-        while not self.stopped and self.life == life:
+        """Sends until stopped, fenced off by a new leader, or replaced by the next `begin`."""
+        events, generation = [], self.generation
+        while not self.stopped and self.generation == generation:
             try:
                 events += self.load()
-                some, events = events, []
-                due, acts = self.outbox.round(host.now(), some, self), self.acts
-                self.acts = []
-                for act, *fields in acts:
-                    act(*fields)
-                    if self.life != life:
+                batch, events = events, []
+                next_due, actions = self.outbox.round(host.now(), batch, self), self.actions
+                self.actions = []
+                for action, *fields in actions:
+                    action(*fields)
+                    if self.generation != generation:
                         return
             except Fenced:
                 return
-            except sqlite3.Error as trouble:
-                # A try that could not be written down is made again: at least once, and the receiver knows its id.
-                self.log.error("webhook's fate not kept", receiver=self.name, why=str(trouble))
+            except sqlite3.Error as error:
+                # An attempt whose outcome could not be stored is repeated. Delivery is at least once; the
+                # receiver recognises repeats by the message's id.
+                self.log.error("webhook delivery outcome not stored", receiver=self.name, why=str(error))
                 self.outbox.clear()
-                self.letters, self.life, due = {}, self.life + 1, None
-                life = self.life
-            wait = LOOK if due is None else max(1.0, min(LOOK, due - host.now()))
-            first = self.box.take(wait)
-            events += [e[1] for e in ([first] if first else []) + self.box.drain() if e and e[0] == self.life]
+                self.messages, self.generation, next_due = {}, self.generation + 1, None
+                generation = self.generation
+            wait = (
+                POLL_INTERVAL_MS
+                if next_due is None
+                else max(1.0, min(POLL_INTERVAL_MS, next_due - host.now()))
+            )
+            first = self.results.take(wait)
+            events += [
+                e[1]
+                for e in ([first] if first else []) + self.results.drain()
+                if e and e[0] == self.generation
+            ]
 
     def load(self):
-        if len(self.outbox) >= HELD // 2:
+        """Events for the outbox about stored messages that are due and not in memory yet."""
+        if len(self.outbox) >= MAX_LOADED // 2:
             return []
-        rows = [r for r in self.store.letters("due", self.name, HELD) if r[0] not in self.letters]
+        rows = [r for r in self.store.letters("due", self.name, MAX_LOADED) if r[0] not in self.messages]
         for row in rows:
-            self.letters[row[0]] = row
-        return [("added", number, build, tries) for number, _, build, _, _, tries, _ in rows]
+            self.messages[row[0]] = row
+        return [("added", number, build, attempts) for number, _, build, _, _, attempts, _ in rows]
 
     # ---- the writer of Outbox ----
 
     def send(self, number):
-        self.acts.append((self.begin_try, number))
+        """Decides that message `number` is attempted now."""
+        self.actions.append((self.start_attempt, number))
 
     def record_state(self, *fields):
-        self.acts.append((self.written, *fields))
+        """Decides that a message's new state is stored."""
+        self.actions.append((self.store_state, *fields))
 
-    # ---- what was decided ----
+    # ---- carrying out the decisions ----
 
-    def begin_try(self, number):
-        host.spawn(self.deliver, number, self.letters[number][3].encode(), self.life)
+    def start_attempt(self, number):
+        host.spawn(self.attempt, number, self.messages[number][3].encode(), self.generation)
 
-    def written(self, number, tries, state, why):
-        self.store.keep_letter(number, tries, state, why)
+    def store_state(self, number, attempts, state, why):
+        self.store.keep_letter(number, attempts, state, why)
         if state != "due":
-            del self.letters[number]
+            del self.messages[number]
         if state == "dead":
-            self.log.error("webhook given up", receiver=self.name, number=number, tries=tries, why=why)
+            self.log.error("webhook given up", receiver=self.name, number=number, tries=attempts, why=why)
 
-    # ---- one try ----
+    # ---- one attempt ----
 
-    def deliver(self, number, body, life):
+    def attempt(self, number, body, generation):
+        """Sends a message once and queues the result as an event for the outbox."""
         try:
-            told = signed_headers(number, body, self.secret, host.wall())
-            status, _ = ask(self.at, self.path.encode(), told, body, self.limit, self.host_name, self.tls)
-            fine, for_good = classify_status(status)
-            event = ("delivered", number) if fine else ("failed", number, f"answered {status}", for_good)
-        except host.Refused as trouble:
-            event = "failed", number, f"no connection: {trouble.kind}"
+            headers = signed_headers(number, body, self.secret, host.wall())
+            status, _ = ask(
+                self.host_and_port,
+                self.path.encode(),
+                headers,
+                body,
+                self.answer_timeout,
+                self.host_name,
+                self.tls,
+            )
+            delivered, permanent = classify_status(status)
+            event = (
+                ("delivered", number) if delivered else ("failed", number, f"answered {status}", permanent)
+            )
+        except host.Refused as error:
+            event = "failed", number, f"no connection: {error.kind}"
         except host.Timeout:
-            event = "failed", number, f"no answer within {self.limit:g} ms"
-        except (OSError, http.BadAnswer) as trouble:
-            event = "failed", number, str(trouble)[:150] or type(trouble).__name__
-        self.box.put((life, event))  # there are fewer tries out than places
+            event = "failed", number, f"no answer within {self.answer_timeout:g} ms"
+        except (OSError, http.BadAnswer) as error:
+            event = "failed", number, str(error)[:150] or type(error).__name__
+        self.results.put((generation, event))  # never full: it has more places than there are attempts
