--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -1,4 +1,9 @@
-"""gannet-release on sockets: proxies and machines come in, lists, stages and tallies go out, votes are answered."""
+"""The release controller on sockets. Proxies and machines connect to it; it sends node lists, stages and
+tallies, answers votes and receives the webhooks of pipelines. One of several controllers that share a
+store is the leader; the others are standbys.
+
+Decisions are made in rounds by `stages.Stages`, whose writer is the Controller. What a round decides is
+sent only after the store has it on disk."""
 
 import json
 import sqlite3
@@ -12,596 +17,684 @@
 from .store import Fenced
 from .turns import LeaderLease
 
-STATUS = {SUCCEEDED: c.OK, MOOT: c.MOOT, FULL: c.FULL}
-ROUND = 25.0
-HEARD_EVERY, INTRODUCE, HOOK_LIMIT = 1000.0, 100.0, 10000.0
-LEAVE = 3000.0  # ms in which an ending controller waits for its disk
+WIRE_STATUS = {SUCCEEDED: c.OK, MOOT: c.MOOT, FULL: c.FULL}
+ROUND_INTERVAL_MS = 25.0  # longest time between two rounds
+# How often a sign of life from a proxy becomes an event, how often new proxies are announced, and within
+# what time a webhook must have arrived completely.
+HEARD_INTERVAL_MS, PEERS_INTERVAL_MS, WEBHOOK_TIMEOUT_MS = 1000.0, 100.0, 10000.0
+SHUTDOWN_TIMEOUT_MS = 3000.0  # how long the shutdown waits for the store's disk
 
 
 class Link:
-    def __init__(self, stream, most):
-        self.stream, self.out, self.id, self.role, self.most = stream, host.Mailbox(most), None, None, most
+    """The connection of one proxy or of the machines, with a queue of the messages to be sent on it."""
+
+    def __init__(self, stream, capacity):
+        """`capacity` is the greatest number of queued messages."""
+        self.stream, self.queue, self.id, self.role, self.capacity = (
+            stream,
+            host.Mailbox(capacity),
+            None,
+            None,
+            capacity,
+        )
         self.heard = -1e18
 
-    def put(self, due, data, note=None):
-        """False where the peer does not read: its link is dropped and resumes from what it holds."""
-        if self.out.put((due, data, note)):
+    def put(self, due, data, message=None):
+        """Queues `data` to be sent at `due` (ms); `message` is recorded when it is sent. If the queue is
+        full, because the peer does not read, closes the link and returns False; the peer reconnects and
+        resumes from the revision that it has."""
+        if self.queue.put((due, data, message)):
             return True
         self.stream.close()
         return False
 
 
 class Controller:
-    def __init__(self, fleet, mine, rollout, size, log, late=lambda: 0.0, told=None):
-        """`late()` is how long news waits before it is told (a script's doing); `told(at, proxy, message)` is called
-        as each list or stage leaves for a proxy; `rollout` is an interface.Rollout."""
-        self.logger, self.late, self.record = log, late, told or (lambda *x: None)
+    """One controller process: leader election, rounds, links of proxies and machines, webhooks. It is the
+    writer of Stages."""
+
+    def __init__(self, fleet, mine, rollout, size, log, news_delay=lambda: 0.0, on_sent=None):
+        """`fleet` and `mine` are the settings of the fleet and of this controller, `rollout` an
+        interface.Rollout, `size` the number of nodes at rest. A script may delay news by `news_delay()` ms.
+        `on_sent(at, proxy, message)` is called as each list or stage is sent to a proxy."""
+        self.logger, self.news_delay, self.on_sent = log, news_delay, on_sent or (lambda *x: None)
         rollout.__dict__["vote_allowance"] = fleet.rollout.vote_allowance
-        self.at_rest = lambda: Stages(
+        self.new_stages = lambda: Stages(
             rollout, size, len(fleet.zone), 4, mine.lease, mine.known_for, mine.quorum, mine.supersede
         )
-        self.drain, self.most_queue, self.lost = fleet.rollout.drain, mine.link_queue, mine.lost_after
-        self.period, self.history_size = fleet.rollout.tally_period, mine.history
-        self.listen, self.most_links, self.turn = (
+        self.drain_grace, self.max_queued, self.link_timeout = (
+            fleet.rollout.drain,
+            mine.link_queue,
+            mine.lost_after,
+        )
+        self.tally_period, self.history_size = fleet.rollout.tally_period, mine.history
+        self.listen, self.max_links, self.turn = (
             mine.listen,
             mine.most_links,
             LeaderLease(mine.name, mine.patience),
         )
         self.story, self.barred, self.store = lambda what, facts: None, set(), None
-        self.calendar, self.senders, self.trail, self.hook_limit = None, [], None, HOOK_LIMIT
+        self.calendar, self.senders, self.trail, self.hook_limit = None, [], None, WEBHOOK_TIMEOUT_MS
         self.box, self.done, self.acting, self.closing = host.Mailbox(65536), host.Once(), False, False
-        # A round waits for the store's disk; what else changes the stages must not come into its middle.
-        self.turnstile = host.Turnstile()
-        self.lingering = host.LingeringCloses(
-            64, 1000.0, 1 << 20
-        )  # behind a refusal that a peer may not have read yet
+        # A round waits for the store's disk. Whatever else changes the stages must not interrupt it.
+        self.round_lock = host.Turnstile()
+        # For refusals: closing at once could discard an answer that the peer has not read yet.
+        self.lingering_closes = host.LingeringCloses(64, 1000.0, 1 << 20)
         self.clear()
 
     def clear(self):
-        """As a process that has just started: whatever an earlier turn held is another's to know now."""
-        # Revisions begin anew with the process: under the epoch of an earlier one a proxy would take its old list for
-        # this one's, where the numbers happen to agree.
-        self.epoch, self.stages = int(host.wall() * 1000), self.at_rest()
-        self.links, self.machines, self.waiting, self.noted = {}, None, [], {}
-        self.nodes, self.slot_of, self.revision, self.history, self.rows = {}, {}, 0, [], {}
-        self.moves, self.pending, self.touched, self.in_round = [], [], False, False
-        self.writing, self.list_waits = False, False
-        self.whole_known, self.new_peers = True, {}
-        self.taken_up, self.ordered_now, self.letters, self.freeze = set(), [], [], None
+        """Resets the state to that of a process that has just started: another leader may have changed what
+        this controller knew."""
+        # Revisions start again from 0, so the epoch must be new: under an earlier epoch a proxy whose
+        # revision happens to agree would mistake its old list for the present one.
+        self.epoch, self.stages = int(host.wall() * 1000), self.new_stages()
+        self.links, self.machines, self.machine_backlog, self.reported_at = {}, None, [], {}
+        self.nodes, self.slot_of, self.revision, self.history, self.tally_rows = {}, {}, 0, [], {}
+        self.moves, self.pending, self.dirty, self.in_round = [], [], False, False
+        self.writing, self.list_pending = False, False
+        self.nodes_known, self.new_peers = True, {}
+        self.taken_orders, self.order_answers, self.outgoing, self.active_freeze = set(), [], [], None
         self.box.drain()
 
-    # ---- whose turn it is ----
+    # ---- leader election ----
 
     def acts(self):
-        """True while what this one says counts: by its own clock, not by what it last read."""
+        """True while this controller is the leader and its lease is valid by its own clock, whatever the
+        store said last."""
         return self.acting and (not self.store or self.turn.is_valid(host.now()))
 
-    def try_turn(self):
-        seen = self.store.turn()
-        if not self.turn.poll(host.now(), *seen):
+    def try_to_lead(self):
+        """Becomes the leader if the lease is free, and restores the state from the store."""
+        observed = self.store.turn()
+        if not self.turn.poll(host.now(), *observed):
             return
         begun = host.now()
-        epoch = self.store.take_turn(self.turn.name, seen)
+        epoch = self.store.take_turn(self.turn.name, observed)
         if epoch is None:
             return
         self.clear()
         self.epoch, self.store.read_at = epoch, None
         self.turn.record_acquisition(begun, host.now(), epoch)
-        # Only with what the store says taken up: that is read in a thread, and a proxy that comes meanwhile must not be told of a
-        # fleet at rest.
-        self.take_up()
+        # `acting` is set only after the restore. The store is read in a thread, and a proxy that connects
+        # meanwhile must not be sent the stage of a fleet at rest.
+        self.restore_state()
         self.acting = True
-        self.logger.info("acts", name=self.turn.name, epoch=epoch, before=seen[1])
+        self.logger.info("acts", name=self.turn.name, epoch=epoch, before=observed[1])
         for sender in self.senders:
             sender.begin()
 
-    def turns(self):
+    def run_election(self):
+        """Renews the lease as the leader; as a standby tries to take it over."""
         while True:
             host.sleep(self.turn.renew_every)
             try:
                 if not self.acting:
-                    self.try_turn()
+                    self.try_to_lead()
                 else:
                     begun = host.now()
                     self.store.keep_turn()
                     self.turn.record_renewal(begun, host.now())
             except Fenced:
-                self.stand_down()
-            except sqlite3.Error as trouble:
-                self.logger.error("no sign left in the store", why=str(trouble))
+                self.step_down()
+            except sqlite3.Error as error:
+                self.logger.error("leader lease not read or written", why=str(error))
 
-    def stand_down(self):
-        """Another acts. Whoever is connected finds it by coming back."""
+    def step_down(self):
+        """Becomes a standby after another controller took over. Closes all links; the peers find the new
+        leader when they reconnect."""
         if not self.acting:
             return
         self.acting = False
         self.turn.record_loss(host.now())
-        self.logger.warning("stands by: another controller acts", name=self.turn.name, epoch=self.epoch)
+        self.logger.warning("leadership lost to another controller", name=self.turn.name, epoch=self.epoch)
         self.store.epoch = None
         for link in [*self.links.values(), *([self.machines] if self.machines else [])]:
             link.stream.close()
         self.clear()
 
     def close(self):
-        """An orderly end: what was decided is written, and another may act at once."""
+        """Shuts down in order: stores what was decided and gives up the lease, so that a standby may take
+        over at once."""
         self.closing = True
         for sender in self.senders:
             sender.stopped = True
         if self.store:
-            last = host.spawn(self.leave)
-            host.join([last], LEAVE)
-            if not last.ready():
-                self.logger.error("turn not left: the store's disk does not answer", for_ms=LEAVE)
+            shutdown = host.spawn(self.release_leadership)
+            host.join([shutdown], SHUTDOWN_TIMEOUT_MS)
+            if not shutdown.ready():
+                self.logger.error(
+                    "leader lease not released: the store's disk does not answer", for_ms=SHUTDOWN_TIMEOUT_MS
+                )
         self.acting = False
-        for one in self.greenlets:
-            host.stop(one)
+        for greenlet in self.greenlets:
+            host.stop(greenlet)
         self.listener.close()
         if self.trail:
             self.trail.close()
 
-    def leave(self):
+    def release_leadership(self):
         try:
             if self.acting:
                 self.round(self.box.drain())
             if self.acting:
                 self.store.leave_turn()
             self.store.close()
-        except (sqlite3.Error, Fenced) as trouble:
-            self.logger.error("turn not left", why=str(trouble))
+        except (sqlite3.Error, Fenced) as error:
+            self.logger.error("leader lease not released", why=str(error))
 
-    # ---- the round ----
+    # ---- start ----
 
     def start(self):
+        """Opens the listener and starts the greenlets."""
         self.listener = host.Listener(self.listen)
         self.acting = not self.store
         self.greenlets = [
-            host.spawn(host.serve, self.listener, self.handle, self.logger, self.most_links),
+            host.spawn(host.serve, self.listener, self.handle, self.logger, self.max_links),
             *(
-                host.spawn(one)
-                for one in (
-                    self.run,
-                    self.introduce,
-                    self.tallies if self.period else None,
-                    self.turns if self.store else None,
+                host.spawn(task)
+                for task in (
+                    self.run_rounds,
+                    self.announce_peers,
+                    self.broadcast_tallies if self.tally_period else None,
+                    self.run_election if self.store else None,
                 )
-                if one
+                if task
             ),
         ]
         if self.trail:
-            host.spawn(self.trail.run)  # ends by itself, once all is written
+            host.spawn(self.trail.run)  # ends by itself after the trail is closed and written
         self.logger.info("serving", at=self.listener.where)
 
     def begin(self):
-        """Acts at once, or stands by where another does."""
+        """Starts as the leader, or as a standby where another controller leads."""
         if not self.store:
             self.acting = True
-            return self.take_up()
+            return self.restore_state()
         try:
-            self.try_turn()
-        except (
-            sqlite3.Error
-        ) as trouble:  # held by another for longer than a write waits: looked at again before long
-            self.logger.error("no sign left in the store", why=str(trouble))
+            self.try_to_lead()
+        # Locked by another process for longer than a write waits; run_election tries again.
+        except sqlite3.Error as error:
+            self.logger.error("leader lease not read or written", why=str(error))
         if not self.acting:
             self.logger.info("stands by", name=self.turn.name)
 
-    def take_up(self):
-        """The fleet at rest, or where the store says that it was."""
-        known = self.store.restore() if self.store else None
-        if known:
-            saved, away = known
-            # Until the machines have said what runs, this one knows of no node: a list from it would tell proxies that all
-            # are gone. They go on by the one that they hold.
-            self.whole_known = False
-            self.stages.restore(host.now(), saved, 1000 * away)
+    def restore_state(self):
+        """Restores the rollout from the store; starts with the fleet at rest where the store is empty."""
+        restored = self.store.restore() if self.store else None
+        if restored:
+            saved, downtime = restored
+            # Until the machines have reported their nodes, none is known. A list sent now would tell the
+            # proxies that all nodes are gone; without one they keep the list that they have.
+            self.nodes_known = False
+            self.stages.restore(host.now(), saved, 1000 * downtime)
             self.logger.info(
                 "taken up",
                 build=self.stages.version,
                 stage=self.stages.stage,
                 phase=self.stages.phase,
-                away_s=round(away, 3),
+                away_s=round(downtime, 3),
             )
         else:
             self.box.put(("begin",))
 
-    def hook(self, doors, tolerance, stream):
-        """One connection of a pipeline: `POST /hooks/<pipeline>`; an answer only after the fact is on disk."""
+    # ---- webhooks of pipelines ----
+
+    def hook(self, pipelines, tolerance, stream):
+        """Serves one connection of a pipeline, with a request `POST /hooks/<pipeline>`. `pipelines` maps
+        names to webhooks.Pipeline; `tolerance` of timestamps in seconds. The answer is sent after the
+        delivery is on disk."""
         try:
             request = asked(stream, http.RequestReader(16384, webhooks.LONGEST), self.hook_limit)
             if request is None:
                 return
             method, url, headers, body, _ = request
-            status, text = self.delivered(doors, tolerance, method, url, headers, body)
+            status, text = self.delivered(pipelines, tolerance, method, url, headers, body)
             stream.send(
                 http.answer(status, [(b"content-type", b"application/json")], text.encode(), False), 5000
             )
-        except http.BadRequest as bad:
+        except http.BadRequest as error:
             try:
-                stream.send(http.answer(bad.status, [], bad.why.encode() + b"\n", False), 5000)
+                stream.send(http.answer(error.status, [], error.why.encode() + b"\n", False), 5000)
             except (OSError, host.Timeout):
                 pass
         except (OSError, host.Timeout):
             pass
         finally:
-            self.lingering.close(stream)
+            self.lingering_closes.close(stream)
 
-    def delivered(self, doors, tolerance, method, url, headers, body):
-        """(status, JSON text). A repeat gets the answer of the first, whatever has happened since."""
+    def delivered(self, pipelines, tolerance, method, url, headers, body):
+        """(HTTP status, JSON text) in answer to a webhook. A repeated delivery gets the answer that the
+        first one got, whatever has happened since."""
         name = url.decode("latin-1").partition("?")[0].removeprefix("/hooks/")
         try:
-            if method != b"POST" or name not in doors:
+            if method != b"POST" or name not in pipelines:
                 raise webhooks.Refused(404, "no such pipeline")
-            ident, build = webhooks.check(doors[name], headers, body, host.wall(), tolerance)
+            delivery_id, build = webhooks.check(pipelines[name], headers, body, host.wall(), tolerance)
         except webhooks.Refused as refused:
             self.logger.warning("webhook refused", pipeline=name[:64], status=refused.status, why=refused.why)
             return refused.status, json.dumps(dict(error=refused.why)) + "\n"
-        before = self.store.answered(name, ident)
-        if before:
-            return before
+        earlier_answer = self.store.answered(name, delivery_id)
+        if earlier_answer:
+            return earlier_answer
         if not self.acts():
             return 503, json.dumps(dict(error="this controller stands by; another acts")) + "\n"
-        with self.turnstile:
-            # Its copy may have come while this one waited for the disk; the turn may have gone meanwhile.
-            before = self.store.answered(name, ident)
-            if before or not self.acts():
-                return before or (
+        with self.round_lock:
+            # While this one waited, a repeat of it may have been stored, and leadership may have been lost.
+            earlier_answer = self.store.answered(name, delivery_id)
+            if earlier_answer or not self.acts():
+                return earlier_answer or (
                     503,
                     json.dumps(dict(error="another controller acts by now; send it again")) + "\n",
                 )
-            fresh = build > self.stages.version and build not in self.stages.queue
-            status = 202 if fresh else 409
-            text = json.dumps(dict(build=build, offered=fresh)) + "\n"
+            is_new = build > self.stages.version and build not in self.stages.queue
+            status = 202 if is_new else 409
+            text = json.dumps(dict(build=build, offered=is_new)) + "\n"
             stages = self.stages
-            if fresh:  # at once, not by an event: the next delivery's write must hold this one's build too
+            # Applied directly and not by an event: the state stored with the next delivery must contain this
+            # build too.
+            if is_new:
                 stages.offered(build)
             try:
-                self.store.deliver(name, ident, build, status, text, stages.saved())
-            except (sqlite3.Error, Fenced) as trouble:
-                if fresh:
+                self.store.deliver(name, delivery_id, build, status, text, stages.saved())
+            except (sqlite3.Error, Fenced) as error:
+                if is_new:
                     stages.queue.remove(build)
-                self.logger.error("webhook not kept", why=str(trouble) or "another controller acts")
+                self.logger.error("webhook not stored", why=str(error) or "another controller is the leader")
                 return 503, json.dumps(dict(error="it could not be written down; send it again")) + "\n"
-        self.logger.info("webhook", pipeline=name, id=ident, build=build, offered=fresh)
+        self.logger.info("webhook", pipeline=name, id=delivery_id, build=build, offered=is_new)
         return status, text
 
-    def run(self):
+    # ---- rounds ----
+
+    def run_rounds(self):
+        """Runs a round for each batch of events, and at least one per ROUND_INTERVAL_MS."""
         while not self.closing:
             if self.acting and not self.acts():
-                host.sleep(ROUND)  # its sign is late: what came waits until it is known who acts
+                host.sleep(ROUND_INTERVAL_MS)  # the lease expired: events wait until it is known who leads
                 continue
-            first = self.box.take(ROUND)
+            first = self.box.take(ROUND_INTERVAL_MS)
             if first:
-                host.sleep(0)  # whoever else has sent something shares this round's write
+                host.sleep(0)  # lets other greenlets add events, which then share this round's write
             events = ([first] if first else []) + self.box.drain()
             if self.acts() and not self.closing:
                 self.round(self.outside() + events)
 
     def outside(self):
-        """What comes by other ways than the box: the calendar, and operators' orders in the store."""
+        """Events from outside the event queue: calendar freezes, and operators' orders in the store."""
         events = []
         why = self.calendar.freeze_reason(host.wall()) if self.calendar else None
-        if why != self.freeze:
-            self.freeze = why
+        if why != self.active_freeze:
+            self.active_freeze = why
             events.append(("frozen", why))
         if self.store:
             try:
-                orders = [o for o in self.store.new_orders() if o[0] not in self.taken_up]
-            except sqlite3.Error as trouble:
-                self.logger.error("orders not read", why=str(trouble))
+                orders = [order for order in self.store.new_orders() if order[0] not in self.taken_orders]
+            except sqlite3.Error as error:
+                self.logger.error("orders not read", why=str(error))
                 orders = []
-            # An order is taken up once, though its answer may have to wait for a store that can be written.
-            self.taken_up.update(o[0] for o in orders)
-            events += [("order", *o) for o in orders]
+            # An order is carried out once, even if its answer has to wait until the store can be written.
+            self.taken_orders.update(order[0] for order in orders)
+            events += [("order", *order) for order in orders]
         return events
 
-    def introduce(self):
-        """Newcomers to all, some at a time: a thousand proxies that come at once must not mean a million messages."""
+    def announce_peers(self):
+        """Announces new proxies to all, in batches: a thousand proxies that connect at once must
+        not cause a million messages."""
         while True:
-            host.sleep(INTRODUCE)
-            new, self.new_peers = self.new_peers, {}
-            if new:
+            host.sleep(PEERS_INTERVAL_MS)
+            peers, self.new_peers = self.new_peers, {}
+            if peers:
                 data = frames.pack(
-                    peers=c.Peers(more=True, peers=[c.Peer(id=i, address=a) for i, a in sorted(new.items())])
+                    peers=c.Peers(
+                        more=True, peers=[c.Peer(id=i, address=a) for i, a in sorted(peers.items())]
+                    )
                 )
                 for link in list(self.links.values()):
                     link.put(0.0, data)
 
     def round(self, events):
-        """What a round decided leaves only once it is on disk; while it cannot be written, nothing of it is told."""
-        with self.turnstile:
-            self.whole_round(events)
+        """Applies `events` in one round. Its decisions are sent only after they are on disk; while the
+        store cannot be written they are held back."""
+        with self.round_lock:
+            self.run_round(events)
 
-    def whole_round(self, events):
+    def run_round(self, events):
         epoch, self.in_round = self.epoch, True
         self.stages.round(host.now(), events, self)
         self.in_round = False
-        if self.store and (self.moves or self.touched):
+        if self.store and (self.moves or self.dirty):
             self.writing = True
             try:
-                self.store.record(self.moves, self.stages.saved(), self.ordered_now, self.letters)
-            except sqlite3.Error as trouble:
-                self.logger.error("state not kept", why=str(trouble), waiting=len(self.pending))
+                self.store.record(self.moves, self.stages.saved(), self.order_answers, self.outgoing)
+            except sqlite3.Error as error:
+                self.logger.error("state not kept", why=str(error), waiting=len(self.pending))
                 return
             except Fenced:
-                return self.stand_down()
+                return self.step_down()
             finally:
                 self.writing = False
             if self.epoch != epoch:
-                return  # the turn went while the disk was waited for: what is held now is another's
+                return  # leadership changed during the write; the state in memory is of another epoch
         if self.trail:
             for what, facts in self.moves:
                 build = facts.get("build")
                 self.trail.append("decision", what=what, request=f"build {build}", epoch=self.epoch, **facts)
-        if self.letters:
+        if self.outgoing:
             for sender in self.senders:
                 sender.wake()
-        self.taken_up -= {number for number, *_ in self.ordered_now}
-        self.moves, self.touched, pending, self.pending = [], False, self.pending, []
-        self.ordered_now, self.letters, self.list_waits = [], [], False
+        self.taken_orders -= {number for number, *_ in self.order_answers}
+        self.moves, self.dirty, pending, self.pending = [], False, self.pending, []
+        self.order_answers, self.outgoing, self.list_pending = [], [], False
         for link, *what in pending:
             link.put(*what)
 
-    def send(self, link, *what):
+    def send_when_stored(self, link, *what):
+        """Sends on `link`, after the next write to the store if decisions wait for one."""
         if self.in_round or self.writing or self.pending:
             self.pending.append((link, *what))
         else:
             link.put(*what)
 
-    def send_list(self, link, *what):
-        """A list that a report of the machines led to rests on no decision: it does not wait for the disk, unless one that
-        does is still to go."""
-        if self.in_round or self.list_waits:
-            self.list_waits = True
+    def send_list_in_order(self, link, *what):
+        """Sends a node list. A list caused by a report of the machines depends on no decision and does
+        not wait for the disk, unless an earlier list still does."""
+        if self.in_round or self.list_pending:
+            self.list_pending = True
             self.pending.append((link, *what))
         else:
             link.put(*what)
 
     def event(self, *event):
+        """Queues an event (a name and its arguments) for the next round."""
         if not self.box.put(event):
-            self.logger.error("event lost: the box is full", event=event[0])
+            self.logger.error("event dropped: the event queue is full", event=event[0])
 
     # ---- the writer of Stages ----
 
-    def place(self, slot, ver, zone, cell, warm):
-        self.machine(
+    def place(self, slot, version, zone, cell, warm):
+        self.send_to_machines(
             frames.pack(
-                place=c.Place(slot=slot, build=ver, zone=zone, cell=cell, warm=warm, epoch=self.epoch)
+                place=c.Place(slot=slot, build=version, zone=zone, cell=cell, warm=warm, epoch=self.epoch)
             )
         )
 
     def remove(self, slot):
-        addr = next((a for a, s in self.slot_of.items() if s == slot), None)
-        if addr in self.nodes:
-            self.nodes[addr].state = c.DRAINING
-            self.changed([self.nodes[addr]])
-        # What has been told to drain is stopped only after the drain, counted from when the news leaves.
-        self.machine(
-            frames.pack(remove=c.Remove(slot=slot, drain=self.drain + self.late(), epoch=self.epoch))
+        node_id = next((n for n, s in self.slot_of.items() if s == slot), None)
+        if node_id in self.nodes:
+            self.nodes[node_id].state = c.DRAINING
+            self.publish_changes([self.nodes[node_id]])
+        # The drain grace starts when the proxies are notified, so it is extended by the news delay.
+        self.send_to_machines(
+            frames.pack(
+                remove=c.Remove(slot=slot, drain=self.drain_grace + self.news_delay(), epoch=self.epoch)
+            )
         )
 
-    def machine(self, data):
-        self.touched = True
+    def send_to_machines(self, data):
+        """Sends to the machines; without a link, keeps `data` until they connect."""
+        self.dirty = True
         if self.machines:
-            self.send(self.machines, 0.0, data)
+            self.send_when_stored(self.machines, 0.0, data)
         else:
-            self.waiting.append(data)
+            self.machine_backlog.append(data)
 
     def stage(self):
         for link in list(self.links.values()):
-            self.tell_stage(link)
+            self.send_stage(link)
 
     def answer(self, proxy, number, status):
-        self.touched = True
+        self.dirty = True
         if proxy in self.links:
-            self.tell_stage(self.links[proxy], number, STATUS[status])
+            self.send_stage(self.links[proxy], number, WIRE_STATUS[status])
 
-    def ordered(self, number, fine, text):
-        self.touched = True
-        self.ordered_now.append((number, fine, text))
+    def ordered(self, number, accepted, text):
+        self.dirty = True
+        self.order_answers.append((number, accepted, text))
 
     def log(self, what, facts):
         if self.store:
             self.moves.append((what, facts))
             if what == "stage":
                 body = outbox.event_body(outbox.EVENT_TYPES[facts["phase"]], facts, host.wall())
-                self.letters += [(sender.name, facts["build"], body) for sender in self.senders]
+                self.outgoing += [(sender.name, facts["build"], body) for sender in self.senders]
         self.logger.info(what, **facts)
         self.story(what, facts)
 
-    def tell_stage(self, link, number=None, status=c.OK):
-        s, late = self.stages, self.late() if number is None else 0.0
+    def send_stage(self, link, number=None, status=c.OK):
+        """Sends the present stage: as news, or as the answer to the proxy's vote `number`, which is not
+        delayed."""
+        stages, delay = self.stages, self.news_delay() if number is None else 0.0
         message = c.Stage(
             answer=number is not None,
-            stage=s.stage,
-            since=max(0.0, host.now() - s.entered_at),
-            cap=s.cap,
+            stage=stages.stage,
+            since=max(0.0, host.now() - stages.entered_at),
+            cap=stages.cap,
             status=status,
-            ver=s.version,
-            phase=s.phase,
+            ver=stages.version,
+            phase=stages.phase,
             number=number or 0,
             epoch=self.epoch,
         )
-        self.send(link, host.now() + late, frames.pack(stage=message), message)
+        self.send_when_stored(link, host.now() + delay, frames.pack(stage=message), message)
 
     # ---- the node list ----
 
-    def changed(self, nodes):
+    def publish_changes(self, nodes):
+        """Sends changed nodes to all proxies under a new revision."""
         self.revision += 1
-        self.history = (self.history + [(self.revision, [(n, host.now()) for n in map(self.copy, nodes)])])[
-            -self.history_size :
-        ]
+        self.history = (
+            self.history + [(self.revision, [(n, host.now()) for n in map(self.copy_node, nodes)])]
+        )[-self.history_size :]
         for link in list(self.links.values()):
-            self.tell_list(link, self.history[-1:])
+            self.send_nodes(link, self.history[-1:])
 
     @staticmethod
-    def copy(node):
-        other = c.Node()
-        other.CopyFrom(node)
-        return other
-
-    def aged(self, node, noted):
-        """Ages grow while they wait to be told."""
-        node = self.copy(node)
+    def copy_node(node):
+        duplicate = c.Node()
+        duplicate.CopyFrom(node)
+        return duplicate
+
+    def with_present_age(self, node, reported_at):
+        """A copy whose age includes the time since the report; an age below 0 is left as it is."""
+        node = self.copy_node(node)
         if node.age >= 0:
-            node.age += host.now() - noted
+            node.age += host.now() - reported_at
         return node
 
-    def tell_list(self, link, changes=None):
-        """Changes by revision, or (None) the whole list."""
-        if not self.whole_known:
+    def send_nodes(self, link, changes=None):
+        """Sends `changes`, as (revision, [(node, time of its report)]); None: the whole list."""
+        if not self.nodes_known:
             return
-        due = host.now() + self.late()
+        due = host.now() + self.news_delay()
         if changes is None:
-            nodes = [self.aged(n, self.noted[a]) for a, n in sorted(self.nodes.items())]
+            nodes = [
+                self.with_present_age(node, self.reported_at[node_id])
+                for node_id, node in sorted(self.nodes.items())
+            ]
             changes = [(self.revision, nodes, True)]
         else:
-            changes = [(rev, [self.aged(n, at) for n, at in some], False) for rev, some in changes]
+            changes = [
+                (number, [self.with_present_age(node, at) for node, at in reports], False)
+                for number, reports in changes
+            ]
         for revision, nodes, whole in changes:
             message = c.NodeList(revision=revision, whole=whole, nodes=nodes, epoch=self.epoch)
-            self.send_list(link, due, frames.pack(list=message), message)
+            self.send_list_in_order(link, due, frames.pack(list=message), message)
 
-    def on_report(self, m):
-        node, before = m.node, self.nodes.get(m.node.id)
-        if before and before.incarnation > node.incarnation and self.slot_of.get(node.id) == m.slot:
-            return  # news of a process that has been followed by another
+    def on_report(self, report):
+        """Applies a report of the machines about one node, and sends the change to the proxies."""
+        node, known = report.node, self.nodes.get(report.node.id)
+        if known and known.incarnation > node.incarnation and self.slot_of.get(node.id) == report.slot:
+            return  # about a process that has been replaced already
         if node.state == c.GONE:
-            if before and self.slot_of.get(node.id) == m.slot:
+            if known and self.slot_of.get(node.id) == report.slot:
                 del self.nodes[node.id], self.slot_of[node.id]
-                self.noted.pop(node.id, None)
-                self.changed([node])
-            self.event("gone", m.slot)
+                self.reported_at.pop(node.id, None)
+                self.publish_changes([node])
+            self.event("gone", report.slot)
             return
-        for addr in [a for a, s in self.slot_of.items() if s == m.slot and a != node.id]:
-            old = self.nodes.pop(addr)
-            del self.slot_of[addr]
-            old.state = c.GONE
-            self.changed([old])
-        self.nodes[node.id], self.slot_of[node.id], self.noted[node.id] = self.copy(node), m.slot, host.now()
-        self.changed([node])
-        self.event("node", m.slot, node.state == c.READY)
+        # A slot holds one node: what was known there under another id has been replaced.
+        for node_id in [n for n, s in self.slot_of.items() if s == report.slot and n != node.id]:
+            replaced = self.nodes.pop(node_id)
+            del self.slot_of[node_id]
+            replaced.state = c.GONE
+            self.publish_changes([replaced])
+        self.nodes[node.id], self.slot_of[node.id], self.reported_at[node.id] = (
+            self.copy_node(node),
+            report.slot,
+            host.now(),
+        )
+        self.publish_changes([node])
+        self.event("node", report.slot, node.state == c.READY)
 
     # ---- links ----
 
     def handle(self, stream):
+        """Serves one connection of a proxy or of the machines until it ends."""
         if not self.acts():
             try:
                 stream.send(frames.pack(refusal=c.Refusal(why="this controller stands by")), 1000)
             except (OSError, host.Timeout):
                 pass
-            return self.lingering.close(stream)
-        link, reader = Link(stream, self.most_queue), frames.FrameReader()
-        writer = host.spawn(self.write, link)
+            return self.lingering_closes.close(stream)
+        link, reader = Link(stream, self.max_queued), frames.FrameReader()
+        writer = host.spawn(self.write_queue, link)
         try:
             while True:
-                data = stream.recv(65536, self.lost)
+                data = stream.recv(65536, self.link_timeout)
                 if not data:
                     break
                 for name, message in reader.feed(data):
                     if link.role is None and name != "hello":
-                        raise frames.BadFrame(f"a {name} before any hello")
+                        raise frames.BadFrame(f"message '{name}' before the hello")
                     getattr(self, "from_" + name, lambda *x: None)(link, message)
-                if link.role == c.PROXY and host.now() - link.heard > HEARD_EVERY:
+                if link.role == c.PROXY and host.now() - link.heard > HEARD_INTERVAL_MS:
                     link.heard = host.now()
                     self.event("heard", link.id)
-        except frames.BadFrame as trouble:
-            self.logger.error("link sent garbage", id=link.id, why=str(trouble))
-        except (OSError, host.Timeout) as trouble:
-            self.logger.info("link broke", id=link.id, why=str(trouble) or "silent")
+        except frames.BadFrame as error:
+            self.logger.error("link sent garbage", id=link.id, why=str(error))
+        except (OSError, host.Timeout) as error:
+            self.logger.info(
+                "link lost", id=link.id, why=str(error) or "nothing received within the time limit"
+            )
         finally:
             host.stop(writer)
             stream.close()
             if self.links.get(link.id) is link:
                 del self.links[link.id]
-                self.logger.info("proxy away", id=link.id)
+                self.logger.info("proxy disconnected", id=link.id)
             if self.machines is link:
                 self.machines = None
 
-    def write(self, link):
-        """In order: what is told late holds up what comes behind it, as news does."""
+    def write_queue(self, link):
+        """Sends the queued messages of a link in order; a delayed one also delays those behind it. Sends
+        Alive after a second without a message."""
         try:
             while True:
-                got = link.out.take(1000)
-                if got is None:
+                entry = link.queue.take(1000)
+                if entry is None:
                     link.stream.send(frames.pack(alive=c.Alive()), 4000)
                     continue
-                due, data, note = got
+                due, data, message = entry
                 while due > host.now():
                     host.sleep(min(1000.0, due - host.now()))
                     if due > host.now():
                         link.stream.send(frames.pack(alive=c.Alive()), 4000)
-                # Stopped for a while and going on, it must not say what it wanted to: another may act by now.
+                # A process that was paused must not send what it had queued: another may be the leader
+                # by now.
                 if not self.acts():
                     return link.stream.close()
                 link.stream.send(data, 4000)
-                if note is not None and link.role == c.PROXY:
-                    self.record(host.now(), link.id, note)
+                if message is not None and link.role == c.PROXY:
+                    self.on_sent(host.now(), link.id, message)
         except (OSError, host.Timeout):
             link.stream.close()
 
-    def from_hello(self, link, m):
-        link.role, link.id = m.role, m.id
-        if m.role == c.MACHINES:
+    # Each `from_` method handles one type of message; it is found by the message's name.
+
+    def from_hello(self, link, message):
+        link.role, link.id = message.role, message.id
+        if message.role == c.MACHINES:
             self.machines = link
-            waiting, self.waiting = self.waiting, []
-            for data in waiting:
+            backlog, self.machine_backlog = self.machine_backlog, []
+            for data in backlog:
                 link.put(0.0, data)
             self.stages.resend_slots(self)
             return
-        if m.id in self.barred:  # a script's cut
+        if message.id in self.barred:  # cut off by a script
             link.stream.reset()
             return
-        other = self.links.get(m.id)
-        if other:
-            other.stream.close()  # its successor is here: one voice a proxy
-        self.links[m.id], link.address = link, m.signal_address
+        previous = self.links.get(message.id)
+        if previous:
+            previous.stream.close()  # one link for each proxy: the new one replaces it
+        self.links[message.id], link.address = link, message.signal_address
         link.put(0.0, frames.pack(welcome=c.Welcome(epoch=self.epoch)))
-        missed = [x for x in self.history if x[0] > m.revision]
-        known = (
-            m.epoch == self.epoch
-            and m.revision <= self.revision
-            and (not missed and m.revision == self.revision or missed and missed[0][0] == m.revision + 1)
+        missed = [change for change in self.history if change[0] > message.revision]
+        # A resumed link gets only the changes that it missed, if the history reaches back far enough.
+        resumed = (
+            message.epoch == self.epoch
+            and message.revision <= self.revision
+            and (
+                not missed
+                and message.revision == self.revision
+                or missed
+                and missed[0][0] == message.revision + 1
+            )
         )
-        self.tell_list(link, missed if known else None)
-        self.tell_stage(link)
+        self.send_nodes(link, missed if resumed else None)
+        self.send_stage(link)
         link.put(
             0.0,
             frames.pack(
-                peers=c.Peers(peers=[c.Peer(id=i, address=x.address) for i, x in sorted(self.links.items())])
+                peers=c.Peers(
+                    peers=[c.Peer(id=i, address=peer.address) for i, peer in sorted(self.links.items())]
+                )
             ),
         )
-        self.new_peers[m.id] = m.signal_address
-        self.logger.info("proxy here", id=m.id, resumed=bool(known), missed=len(missed) if known else -1)
+        self.new_peers[message.id] = message.signal_address
+        self.logger.info(
+            "proxy here", id=message.id, resumed=bool(resumed), missed=len(missed) if resumed else -1
+        )
 
-    def from_vote(self, link, m):
-        self.event("vote", link.id, m.number, m.stage, m.ver, m.verdict, m.figures[:400])
+    def from_vote(self, link, message):
+        self.event(
+            "vote",
+            link.id,
+            message.number,
+            message.stage,
+            message.ver,
+            message.verdict,
+            message.figures[:400],
+        )
 
-    def from_report(self, link, m):
+    def from_report(self, link, message):
         if link.role != c.MACHINES:
             return
-        if m.HasField("node"):
-            self.on_report(m)
-        if m.all and not self.whole_known:
-            self.whole_known = True
-            for each in list(self.links.values()):
-                self.tell_list(each)
-
-    def from_ask(self, link, m):
-        self.tell_list(link)
-
-    def from_counts(self, link, m):
-        for row in m.rows:
-            sums = self.rows.setdefault((row.ver, row.operation), [0, 0, 0.0])
+        if message.HasField("node"):
+            self.on_report(message)
+        if message.all and not self.nodes_known:
+            self.nodes_known = True
+            for proxy_link in list(self.links.values()):
+                self.send_nodes(proxy_link)
+
+    def from_ask(self, link, message):
+        self.send_nodes(link)
+
+    def from_counts(self, link, message):
+        for row in message.rows:
+            sums = self.tally_rows.setdefault((row.ver, row.operation), [0, 0, 0.0])
             for n, value in enumerate((row.dispatches, row.bad, row.taken)):
                 sums[n] += value
 
-    def tallies(self):
+    def broadcast_tallies(self):
+        """Sends the sums of the proxies' counts to all proxies, once per tally period."""
         while True:
-            host.sleep(self.period)
-            rows, self.rows = self.rows, {}
+            host.sleep(self.tally_period)
+            rows, self.tally_rows = self.tally_rows, {}
             if rows:
                 data = frames.pack(
                     tally=c.Tally(
-                        age=self.late(),
+                        age=self.news_delay(),
                         epoch=self.epoch,
                         rows=[
                             c.Count(ver=v, operation=o, dispatches=n, bad=b, taken=t)
@@ -610,4 +703,4 @@
                     )
                 )
                 for link in list(self.links.values()):
-                    link.put(host.now() + self.late(), data)
+                    link.put(host.now() + self.news_delay(), data)
