--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -574,9 +574,7 @@
         except frames.BadFrame as error:
             self.logger.error("link sent garbage", id=link.id, why=str(error))
         except (OSError, host.Timeout) as error:
-            self.logger.info(
-                "link lost", id=link.id, why=str(error) or "nothing received within the time limit"
-            )
+            self.logger.info("link lost", id=link.id, why=str(error) or "silent")
         finally:
             host.stop(writer)
             stream.close()
