--- a/bench/release.py
+++ b/bench/release.py
@@ -478,7 +478,7 @@
         while not heard:
             host.sleep(5)
         host.sleep(300 + 37 * turn)
-        acting = Store(f"{folder}/s").turn()[1]
+        acting = Store(f"{folder}/s").lease_state()[1]
         processes[acting].kill()
         begun = host.now()
         while heard[-1][0] < begun + 1 or not link.up:
--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -141,7 +141,7 @@
     if not known:
         raise SystemExit(complain(f"{store}: no controller has begun") and 1)
     saved, away = known
-    epoch, holder, beat = one.turn()
+    epoch, holder, beat = one.lease_state()
     waits = next((m["why"] for m in reversed(one.history(200)) if m["what"] in ("waits", "stage")), "")
     facts = dict(
         build=saved["ver"],
@@ -255,8 +255,8 @@
 def restore(copy, store, by, why):
     """Put what a snapshot holds into the place of the STORE's. No controller may act on it."""
     one, other = opened(store), opened(copy)
-    if one.turn()[1]:
-        raise SystemExit(complain(f"{store}: '{one.turn()[1]}' acts on it; stop it first") and 1)
+    if one.lease_state()[1]:
+        raise SystemExit(complain(f"{store}: '{one.lease_state()[1]}' acts on it; stop it first") and 1)
     one.take_from(other, by, why)
     click.echo(f"{store}: as in {copy}")
 
--- a/gannetfront/day/platform.py
+++ b/gannetfront/day/platform.py
@@ -83,7 +83,7 @@
 
     def strike(self, kind, span):
         """The one that acts is killed or stopped; it comes back after `span`."""
-        name = Store(self.day.folder / "release.db").turn()[1]
+        name = Store(self.day.folder / "release.db").lease_state()[1]
         process = self.day.processes[f"release.{name}"]
         self.day.events.add(host.now(), kind.replace("_", " "), name, "")
         if kind == "controller_pause":
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -105,11 +105,11 @@
 
     def try_to_lead(self):
         """Becomes the leader if the lease is free, and restores the state from the store."""
-        observed = self.store.turn()
+        observed = self.store.lease_state()
         if not self.turn.poll(host.now(), *observed):
             return
         begun = host.now()
-        epoch = self.store.take_turn(self.turn.name, observed)
+        epoch = self.store.acquire_lease(self.turn.name, observed)
         if epoch is None:
             return
         self.clear()
@@ -132,7 +132,7 @@
                     self.try_to_lead()
                 else:
                     begun = host.now()
-                    self.store.keep_turn()
+                    self.store.renew_lease()
                     self.turn.record_renewal(begun, host.now())
             except Fenced:
                 self.step_down()
@@ -177,7 +177,7 @@
             if self.acting:
                 self.round(self.box.drain())
             if self.acting:
-                self.store.leave_turn()
+                self.store.release_lease()
             self.store.close()
         except (sqlite3.Error, Fenced) as error:
             self.logger.error("leader lease not released", why=str(error))
--- a/gannetfront/release/store.py
+++ b/gannetfront/release/store.py
@@ -88,16 +88,16 @@
 
     # ---- leader election ----
 
-    def turn(self):
+    def lease_state(self):
         """(epoch, leader's name or '', heartbeat); (0, '', 0) where there was never a leader."""
         return self.db.execute("SELECT epoch, holder, beat FROM acting").fetchone() or (0, "", 0)
 
-    def take_turn(self, name, observed):
+    def acquire_lease(self, name, observed):
         """Makes `name` the leader and returns the new epoch, or None where the lease has changed since it
         was read as `observed`. An epoch is never lower than the calendar time in ms, so that epochs also
         rise past those of a store that was lost."""
         with self.transaction(fenced=False):
-            if self.turn() != tuple(observed):
+            if self.lease_state() != tuple(observed):
                 return None
             epoch = max(observed[0] + 1, int(host.wall() * 1000))
             self.db.execute(
@@ -108,12 +108,12 @@
         self.epoch = epoch
         return epoch
 
-    def keep_turn(self):
+    def renew_lease(self):
         """Renews the leader's lease by a heartbeat. Raises Fenced."""
         with self.transaction():
             self.db.execute("UPDATE acting SET beat=beat+1")
 
-    def leave_turn(self):
+    def release_lease(self):
         """Gives up the lease, so that a standby may take over at once. Raises Fenced."""
         with self.transaction():
             self.db.execute("UPDATE acting SET holder=''")
@@ -123,7 +123,7 @@
         """Begins a write transaction, to be used in a `with` statement. If `fenced`, raises Fenced where
         another controller has become the leader."""
         self.db.execute("BEGIN IMMEDIATE")
-        if fenced and self.epoch is not None and self.turn()[0] != self.epoch:
+        if fenced and self.epoch is not None and self.lease_state()[0] != self.epoch:
             self.db.execute("ROLLBACK")
             raise Fenced()
         return Transaction(self.db)
@@ -268,7 +268,7 @@
     def take_from(self, other, by, why):
         """Replaces the contents by those of the store `other` in one transaction. The epoch becomes the
         higher one of the two, because epochs must not fall, and there is no leader afterwards."""
-        epoch = max(self.turn()[0], other.turn()[0])
+        epoch = max(self.lease_state()[0], other.lease_state()[0])
         other.snapshot(":memory:")  # raises sqlite3.Error where it is damaged, before anything is replaced
         with self.transaction(fenced=False):
             for table in ("deliveries", "moves", "state", "orders", "outbox"):
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -399,7 +399,7 @@
         pass
     epoch = first.epoch
     # Stopped, as a process that is paused: it renews nothing, says nothing, and does not know that time went by.
-    first.store.__dict__["keep_turn"] = lambda: host.sleep(1e9)
+    first.store.__dict__["renew_lease"] = lambda: host.sleep(1e9)
     until(second.acts)
     assert second.stages.version == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
     assert not first.acts(), "two act"
@@ -410,7 +410,7 @@
     assert heard(*link(second), "welcome").epoch == second.epoch
     assert ask(second, 4)[0] == 202 and ask(first, 4)[0] == 202 and ask(first, 5, "d5")[0] == 503
     second.close()
-    assert Store(tmp_path / "s").turn()[1] == ""  # left in order: whoever stands by takes it at once
+    assert Store(tmp_path / "s").lease_state()[1] == ""  # left in order: whoever stands by takes it at once
 
 
 @pytest.mark.parametrize("somebody", [True, False], ids=["told to one", "told to nobody yet"])
@@ -465,7 +465,7 @@
     other = sqlite3.connect(tmp_path / "s", isolation_level=None)
     other.execute("BEGIN EXCLUSIVE")
     host.later(60, other.execute, "COMMIT")
-    assert Store(tmp_path / "s").turn() == (0, "", 0)
+    assert Store(tmp_path / "s").lease_state() == (0, "", 0)
     monkeypatch.setattr(store_module, "STARTS", 2)
     other = sqlite3.connect(tmp_path / "t", isolation_level=None)
     other.execute("BEGIN EXCLUSIVE")
@@ -528,7 +528,7 @@
     again = stages()
     again.restore(5000.0, saved, 1000 * away)
     assert away == 0 and 0 <= 5000.0 - again.soak_start <= 1100.0
-    assert store.take_turn("a", store.turn()) < store.take_turn("b", store.turn()), (
+    assert store.acquire_lease("a", store.lease_state()) < store.acquire_lease("b", store.lease_state()), (
         "epochs fell with the clock"
     )
 
@@ -557,14 +557,14 @@
             db.execute(statement)
         db.close()
         one = Store(path)
-        assert one.turn() == (0, "", 0) and one.restore() is None
+        assert one.lease_state() == (0, "", 0) and one.restore() is None
 
 
 def test_fenced_store_writes_nothing(tmp_path):
     one, other = Store(tmp_path / "s"), Store(tmp_path / "s")
-    one.take_turn("a", one.turn())
-    assert other.take_turn("b", (1, "x", 1)) is None, "took a turn that had moved on"
-    other.take_turn("b", other.turn())
+    one.acquire_lease("a", one.lease_state())
+    assert other.acquire_lease("b", (1, "x", 1)) is None, "took a turn that had moved on"
+    other.acquire_lease("b", other.lease_state())
     with pytest.raises(Fenced):
         one.record([("stage", dict(build=2))], {})
     assert one.history() == []
