--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -68,7 +68,7 @@
             mine.lost_after,
         )
         self.tally_period, self.history_size = fleet.rollout.tally_period, mine.history
-        self.listen, self.max_links, self.turn = (
+        self.listen, self.max_links, self.leader_lease = (
             mine.listen,
             mine.most_links,
             LeaderLease(mine.name, mine.patience),
@@ -101,39 +101,39 @@
     def acts(self):
         """True while this controller is the leader and its lease is valid by its own clock, whatever the
         store said last."""
-        return self.acting and (not self.store or self.turn.is_valid(host.now()))
+        return self.acting and (not self.store or self.leader_lease.is_valid(host.now()))
 
     def try_to_lead(self):
         """Becomes the leader if the lease is free, and restores the state from the store."""
         observed = self.store.lease_state()
-        if not self.turn.poll(host.now(), *observed):
+        if not self.leader_lease.poll(host.now(), *observed):
             return
         begun = host.now()
-        epoch = self.store.acquire_lease(self.turn.name, observed)
+        epoch = self.store.acquire_lease(self.leader_lease.name, observed)
         if epoch is None:
             return
         self.clear()
         self.epoch, self.store.read_at = epoch, None
-        self.turn.record_acquisition(begun, host.now(), epoch)
+        self.leader_lease.record_acquisition(begun, host.now(), epoch)
         # `acting` is set only after the restore. The store is read in a thread, and a proxy that connects
         # meanwhile must not be sent the stage of a fleet at rest.
         self.restore_state()
         self.acting = True
-        self.logger.info("acts", name=self.turn.name, epoch=epoch, before=observed[1])
+        self.logger.info("acts", name=self.leader_lease.name, epoch=epoch, before=observed[1])
         for sender in self.senders:
             sender.begin()
 
     def run_election(self):
         """Renews the lease as the leader; as a standby tries to take it over."""
         while True:
-            host.sleep(self.turn.renew_every)
+            host.sleep(self.leader_lease.renew_every)
             try:
                 if not self.acting:
                     self.try_to_lead()
                 else:
                     begun = host.now()
                     self.store.renew_lease()
-                    self.turn.record_renewal(begun, host.now())
+                    self.leader_lease.record_renewal(begun, host.now())
             except Fenced:
                 self.step_down()
             except sqlite3.Error as error:
@@ -145,8 +145,10 @@
         if not self.acting:
             return
         self.acting = False
-        self.turn.record_loss(host.now())
-        self.logger.warning("leadership lost to another controller", name=self.turn.name, epoch=self.epoch)
+        self.leader_lease.record_loss(host.now())
+        self.logger.warning(
+            "leadership lost to another controller", name=self.leader_lease.name, epoch=self.epoch
+        )
         self.store.epoch = None
         for link in [*self.links.values(), *([self.machines] if self.machines else [])]:
             link.stream.close()
@@ -216,7 +218,7 @@
         except sqlite3.Error as error:
             self.logger.error("leader lease not read or written", why=str(error))
         if not self.acting:
-            self.logger.info("stands by", name=self.turn.name)
+            self.logger.info("stands by", name=self.leader_lease.name)
 
     def restore_state(self):
         """Restores the rollout from the store; starts with the fleet at rest where the store is empty."""
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -403,7 +403,9 @@
     until(second.acts)
     assert second.stages.version == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
     assert not first.acts(), "two act"
-    first.turn.renewed_at = 1e18  # even one that believes in its turn writes nothing, and tells nothing
+    first.leader_lease.renewed_at = (
+        1e18  # even one that believes in its turn writes nothing, and tells nothing
+    )
     first.event("offered", 3)
     until(lambda: not first.acting)
     assert first.stages.version == 1 and second.store.restore()[0]["ver"] == 2
