--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -156,8 +156,8 @@
         beat=beat,
         written_s_ago=round(away, 3),
         last_reason=waits,
-        due=len(one.letters("due", most=10000)),
-        dead=len(one.letters("dead", most=10000)),
+        due=len(one.messages("due", most=10000)),
+        dead=len(one.messages("dead", most=10000)),
     )
     shown(as_json, facts, "\n".join(f"{k:14} {v}" for k, v in facts.items()))
 
@@ -215,7 +215,7 @@
 def letters(store, again, numbers, as_json):
     """What could not be sent to a receiver and was given up."""
     one = opened(store)
-    for number, receiver, build, body, at, tries, why in one.letters("dead", most=10000):
+    for number, receiver, build, body, at, tries, why in one.messages("dead", most=10000):
         if not numbers or number in numbers:
             shown(
                 as_json,
@@ -231,7 +231,7 @@
                 f"{number:6} {receiver} build {build} {json.loads(body)['type']} after {tries} tries: {why}",
             )
     if again:
-        click.echo(f"{one.send_again(set(numbers) or None)} made due again", err=True)
+        click.echo(f"{one.requeue_dead(set(numbers) or None)} made due again", err=True)
 
 
 @main.command()
@@ -257,7 +257,7 @@
     one, other = opened(store), opened(copy)
     if one.lease_state()[1]:
         raise SystemExit(complain(f"{store}: '{one.lease_state()[1]}' acts on it; stop it first") and 1)
-    one.take_from(other, by, why)
+    one.replace_contents(other, by, why)
     click.echo(f"{store}: as in {copy}")
 
 
--- a/gannetfront/day/platform.py
+++ b/gannetfront/day/platform.py
@@ -103,7 +103,7 @@
     def settle(self):
         """Until all deliveries are answered and all that is due to the receiver is sent: at most a few seconds."""
         store, end = Store(self.day.folder / "release.db") if self.stored else None, host.now() + 5000
-        while store and host.now() < end and (self.open or store.letters("due")):
+        while store and host.now() < end and (self.open or store.messages("due")):
             host.sleep(50)
         for ident, at in self.open:
             self.day.events.add(host.now(), "webhook unanswered", ident, at)
--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -107,7 +107,7 @@
         """Events for the outbox about stored messages that are due and not in memory yet."""
         if len(self.outbox) >= MAX_LOADED // 2:
             return []
-        rows = [r for r in self.store.letters("due", self.name, MAX_LOADED) if r[0] not in self.messages]
+        rows = [r for r in self.store.messages("due", self.name, MAX_LOADED) if r[0] not in self.messages]
         for row in rows:
             self.messages[row[0]] = row
         return [("added", number, build, attempts) for number, _, build, _, _, attempts, _ in rows]
@@ -128,7 +128,7 @@
         host.spawn(self.attempt, number, self.messages[number][3].encode(), self.generation)
 
     def store_state(self, number, attempts, state, why):
-        self.store.keep_letter(number, attempts, state, why)
+        self.store.store_message_state(number, attempts, state, why)
         if state != "due":
             del self.messages[number]
         if state == "dead":
--- a/gannetfront/release/store.py
+++ b/gannetfront/release/store.py
@@ -145,7 +145,7 @@
             )
             self.save(saved)
 
-    def record(self, moves, saved, orders=(), letters=()):
+    def record(self, moves, saved, orders=(), messages=()):
         """Stores the outcome of a round in one transaction: its moves, as (what, facts), the rollout's
         state after it, the orders that it answered, as (number, accepted, text), and the messages to be
         sent, as (receiver, build, body)."""
@@ -160,10 +160,10 @@
                     "UPDATE orders SET state=?, answer=? WHERE number=?",
                     ("done" if accepted else "refused", text, number),
                 )
-            for letter in letters:
+            for message in messages:
                 self.db.execute(
                     "INSERT INTO outbox (receiver, build, body, at, tries, state, why) VALUES (?,?,?,?,0,'due','')",
-                    (*letter, host.wall()),
+                    (*message, host.wall()),
                 )
             self.save(saved)
 
@@ -232,7 +232,7 @@
 
     # ---- messages to receivers ----
 
-    def letters(self, state, receiver=None, most=256):
+    def messages(self, state, receiver=None, most=256):
         """Up to `most` messages in `state` (due, done or dead), oldest first, as (number, receiver,
         build, body, at, attempts, why)."""
         return self.db.execute(
@@ -241,7 +241,7 @@
             (state, receiver, most),
         ).fetchall()
 
-    def keep_letter(self, number, attempts, state, why):
+    def store_message_state(self, number, attempts, state, why):
         """Stores a message's state after an attempt. Raises Fenced."""
         with self.transaction():
             self.db.execute(
@@ -249,10 +249,10 @@
                 (attempts, state, why[:200], number),
             )
 
-    def send_again(self, numbers=None):
+    def requeue_dead(self, numbers=None):
         """Makes dead letters due again: those in `numbers`, or all. Returns how many there were."""
         with self.transaction(fenced=False):
-            dead = [n for n, *_ in self.letters("dead", most=10**6) if numbers is None or n in numbers]
+            dead = [n for n, *_ in self.messages("dead", most=10**6) if numbers is None or n in numbers]
             for number in dead:
                 self.db.execute("UPDATE outbox SET state='due', tries=0 WHERE number=?", (number,))
             return len(dead)
@@ -265,7 +265,7 @@
             self.db.backup(copy)
         copy.close()
 
-    def take_from(self, other, by, why):
+    def replace_contents(self, other, by, why):
         """Replaces the contents by those of the store `other` in one transaction. The epoch becomes the
         higher one of the two, because epochs must not fall, and there is no leader afterwards."""
         epoch = max(self.lease_state()[0], other.lease_state()[0])
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -688,7 +688,7 @@
     kinds = [json.loads(body)["type"] for _, body in got]
     assert kinds == ["build.stage"] * 4 + ["build.going_back"] and len({body for _, body in got[:4]}) == 1
     assert json.loads(got[-1][1])["data"]["why"] == "ops: it leaks"
-    until(lambda: not one.store.letters("due"))
+    until(lambda: not one.store.messages("due"))
     one.close()
     listener.close()
 
@@ -704,16 +704,16 @@
     store.record(
         [],
         {},
-        letters=[
+        messages=[
             ("r", 2, event_body("build.stage", dict(build=2), 0)),
             ("r", 2, event_body("build.released", dict(build=2), 0)),
         ],
     )
-    store.keep_letter(1, 12, "dead", "no connection: econnrefused")
+    store.store_message_state(1, 12, "dead", "no connection: econnrefused")
     listed = run("letters", tmp_path / "s", "--json")
     assert json.loads(listed.output)["why"] == "no connection: econnrefused"
     assert run("letters", tmp_path / "s", "--again").exit_code == 0
-    assert [row[0] for row in store.letters("due")] == [1, 2]
+    assert [row[0] for row in store.messages("due")] == [1, 2]
 
 
 # ---- killed at random points: the short version of bench/release.py ----
