--- a/bench/release.py
+++ b/bench/release.py
@@ -156,9 +156,9 @@
         if what < 0.1:
             one.event("offered", s.version + 1)
         elif what < 0.2:
-            say("ordered", one.store.put_order("back" if what < 0.15 else "hold", s.version, "bench", "x"))
+            say("ordered", one.store.add_order("back" if what < 0.15 else "hold", s.version, "bench", "x"))
         elif what < 0.25:
-            say("ordered", one.store.put_order("resume", s.version, "bench", "x"))
+            say("ordered", one.store.add_order("resume", s.version, "bench", "x"))
         else:
             one.event("vote", "0", number, s.stage, s.version, ON if what < 0.9 else BACK)
         one.round(one.outside() + one.box.drain())
--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -60,7 +60,7 @@
         if mine.store:
             one.store = Aside(Store(mine.store))
             try:
-                one.store.forget(mine.remembered / 1000)
+                one.store.delete_older(mine.remembered / 1000)
             except sqlite3.Error as trouble:  # held by another, or its disk is slow: the next start may do it
                 log.warning("store not tidied", why=str(trouble))
         one.calendar = Calendar(mine.freeze)
@@ -156,8 +156,8 @@
         beat=beat,
         written_s_ago=round(away, 3),
         last_reason=waits,
-        due=len(one.messages("due", most=10000)),
-        dead=len(one.messages("dead", most=10000)),
+        due=len(one.messages("due", limit=10000)),
+        dead=len(one.messages("dead", limit=10000)),
     )
     shown(as_json, facts, "\n".join(f"{k:14} {v}" for k, v in facts.items()))
 
@@ -167,8 +167,8 @@
     if not by.strip() or not why.strip():
         raise SystemExit(complain("--by and --why must say something"))
     one = opened(store)
-    number, end = one.put_order(kind, build, by, why), host.now() + limit
-    while one.order(number)[0] == "new" and host.now() < end:
+    number, end = one.add_order(kind, build, by, why), host.now() + limit
+    while one.order_result(number)[0] == "new" and host.now() < end:
         host.sleep(20)
     if one.withdraw_order(number):  # not so where it is taken up at the last moment
         shown(
@@ -177,7 +177,7 @@
             f"no controller took it up within {limit:g} ms; the order is withdrawn",
         )
         raise SystemExit(3)
-    state, answer = one.order(number)
+    state, answer = one.order_result(number)
     shown(as_json, dict(order=number, state=state, answer=answer), f"{state}: {answer}")
     raise SystemExit(0 if state == "done" else 1)
 
@@ -215,7 +215,7 @@
 def letters(store, again, numbers, as_json):
     """What could not be sent to a receiver and was given up."""
     one = opened(store)
-    for number, receiver, build, body, at, tries, why in one.messages("dead", most=10000):
+    for number, receiver, build, body, at, tries, why in one.messages("dead", limit=10000):
         if not numbers or number in numbers:
             shown(
                 as_json,
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -113,7 +113,7 @@
         if epoch is None:
             return
         self.clear()
-        self.epoch, self.store.read_at = epoch, None
+        self.epoch, self.store.seen_data_version = epoch, None
         self.leader_lease.record_acquisition(begun, host.now(), epoch)
         # `acting` is set only after the restore. The store is read in a thread, and a proxy that connects
         # meanwhile must not be sent the stage of a fleet at rest.
@@ -275,14 +275,14 @@
         except webhooks.Refused as refused:
             self.logger.warning("webhook refused", pipeline=name[:64], status=refused.status, why=refused.why)
             return refused.status, json.dumps(dict(error=refused.why)) + "\n"
-        earlier_answer = self.store.answered(name, delivery_id)
+        earlier_answer = self.store.find_answer(name, delivery_id)
         if earlier_answer:
             return earlier_answer
         if not self.acts():
             return 503, json.dumps(dict(error="this controller stands by; another acts")) + "\n"
         with self.round_lock:
             # While this one waited, a repeat of it may have been stored, and leadership may have been lost.
-            earlier_answer = self.store.answered(name, delivery_id)
+            earlier_answer = self.store.find_answer(name, delivery_id)
             if earlier_answer or not self.acts():
                 return earlier_answer or (
                     503,
--- a/gannetfront/release/store.py
+++ b/gannetfront/release/store.py
@@ -44,7 +44,7 @@
 
     def __init__(self, path):
         """Opens the file, or creates it. Raises BadStore."""
-        self.epoch, self.read_at = None, None
+        self.epoch, self.seen_data_version = None, None
         for attempts_left in range(STARTS - 1, -1, -1):
             try:
                 return self.open(path)
@@ -130,7 +130,7 @@
 
     # ---- deliveries, moves and the rollout's state ----
 
-    def answered(self, pipeline, delivery_id):
+    def find_answer(self, pipeline, delivery_id):
         """The (status, answer) that this delivery got before, or None."""
         return self.db.execute(
             "SELECT status, answer FROM deliveries WHERE pipeline=? AND id=?", (pipeline, delivery_id)
@@ -178,26 +178,26 @@
         row = self.db.execute("SELECT saved, at FROM state").fetchone()
         return row and (json.loads(row[0]), max(0.0, host.wall() - row[1]))
 
-    def history(self, most=100):
-        """The latest `most` moves, oldest first, each as a dict of number, at, what and its facts."""
+    def history(self, limit=100):
+        """The latest `limit` moves, oldest first, each as a dict of number, at, what and its facts."""
         return [
             dict(number=n, at=at, what=what, **json.loads(facts))
             for n, at, what, facts in self.db.execute(
-                "SELECT number, at, what, facts FROM moves ORDER BY number DESC LIMIT ?", (most,)
+                "SELECT number, at, what, facts FROM moves ORDER BY number DESC LIMIT ?", (limit,)
             )
         ][::-1]
 
-    def forget(self, older_than):
-        """Deletes what is older than `older_than` seconds, the time within which a pipeline may repeat a
+    def delete_older(self, max_age):
+        """Deletes what is older than `max_age` seconds, the time within which a pipeline may repeat a
         delivery: deliveries, messages that were sent or given up, and answered orders."""
         with self.transaction(fenced=False):
-            self.db.execute("DELETE FROM deliveries WHERE at < ?", (host.wall() - older_than,))
-            self.db.execute("DELETE FROM outbox WHERE state != 'due' AND at < ?", (host.wall() - older_than,))
-            self.db.execute("DELETE FROM orders WHERE state != 'new' AND at < ?", (host.wall() - older_than,))
+            self.db.execute("DELETE FROM deliveries WHERE at < ?", (host.wall() - max_age,))
+            self.db.execute("DELETE FROM outbox WHERE state != 'due' AND at < ?", (host.wall() - max_age,))
+            self.db.execute("DELETE FROM orders WHERE state != 'new' AND at < ?", (host.wall() - max_age,))
 
     # ---- operators' orders ----
 
-    def put_order(self, kind, build, by, why):
+    def add_order(self, kind, build, by, why):
         """Stores an order, which the leader reads in its next round. Returns its number."""
         with self.transaction(fenced=False):
             return self.db.execute(
@@ -205,7 +205,7 @@
                 (host.wall(), kind, build, by, why),
             ).lastrowid
 
-    def order(self, number):
+    def order_result(self, number):
         """(state, answer) of an order."""
         return self.db.execute("SELECT state, answer FROM orders WHERE number=?", (number,)).fetchone()
 
@@ -223,22 +223,22 @@
         """Orders without an answer, as (number, kind, build, by, why). They are queried only if another
         connection has written to the file since the last call; otherwise the list is empty."""
         version = self.db.execute("PRAGMA data_version").fetchone()[0]
-        if version == self.read_at:
+        if version == self.seen_data_version:
             return []
-        self.read_at = version
+        self.seen_data_version = version
         return self.db.execute(
             "SELECT number, kind, build, by_whom, why FROM orders WHERE state='new' ORDER BY number"
         ).fetchall()
 
     # ---- messages to receivers ----
 
-    def messages(self, state, receiver=None, most=256):
-        """Up to `most` messages in `state` (due, done or dead), oldest first, as (number, receiver,
+    def messages(self, state, receiver=None, limit=256):
+        """Up to `limit` messages in `state` (due, done or dead), oldest first, as (number, receiver,
         build, body, at, attempts, why)."""
         return self.db.execute(
             "SELECT number, receiver, build, body, at, tries, why FROM outbox WHERE state=? AND "
             "receiver=ifnull(?, receiver) ORDER BY number LIMIT ?",
-            (state, receiver, most),
+            (state, receiver, limit),
         ).fetchall()
 
     def store_message_state(self, number, attempts, state, why):
@@ -252,7 +252,7 @@
     def requeue_dead(self, numbers=None):
         """Makes dead letters due again: those in `numbers`, or all. Returns how many there were."""
         with self.transaction(fenced=False):
-            dead = [n for n, *_ in self.messages("dead", most=10**6) if numbers is None or n in numbers]
+            dead = [n for n, *_ in self.messages("dead", limit=10**6) if numbers is None or n in numbers]
             for number in dead:
                 self.db.execute("UPDATE outbox SET state='due', tries=0 WHERE number=?", (number,))
             return len(dead)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -426,7 +426,7 @@
     ),
     "repeats": (
         "release",
-        "from gannetfront.release.store import Store as S\nS.answered = lambda *x: None",
+        "from gannetfront.release.store import Store as S\nS.find_answer = lambda *x: None",
         "webhooks",
     ),
 }
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -582,12 +582,12 @@
 def test_orders_reach_whichever_acts_and_are_answered(tmp_path, controller):
     one = controller(tmp_path / "s", "a")
     until(lambda: one.stages.slots)
-    number = Store(tmp_path / "s").put_order("offer", 5, "ops", "by hand")
+    number = Store(tmp_path / "s").add_order("offer", 5, "ops", "by hand")
     until(lambda: one.stages.version == 5)
-    assert one.store.order(number) == ("done", "build 5 is offered")
-    number = Store(tmp_path / "s").put_order("back", 4, "ops", "x")
-    until(lambda: one.store.order(number)[0] != "new")
-    assert one.store.order(number)[0] == "refused"
+    assert one.store.order_result(number) == ("done", "build 5 is offered")
+    number = Store(tmp_path / "s").add_order("back", 4, "ops", "x")
+    until(lambda: one.store.order_result(number)[0] != "new")
+    assert one.store.order_result(number)[0] == "refused"
     asked = run("status", tmp_path / "s", "--json")
     facts = json.loads(asked.output)
     assert asked.exit_code == 0 and (facts["build"], facts["phase"], facts["acting"]) == (5, "on trial", "a")
