--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -37,7 +37,7 @@
     from ..release.scripted import ControllerScript
     from ..release.sending import Sender
     from ..release.serve import Controller
-    from ..release.store import Aside, BadStore, Store
+    from ..release.store import ThreadedStore, BadStore, Store
     from ..trail.log import Trail
 
     log = logs("gannet-release", log_level)
@@ -58,7 +58,7 @@
             scripted.record_message,
         )
         if mine.store:
-            one.store = Aside(Store(mine.store))
+            one.store = ThreadedStore(Store(mine.store))
             try:
                 one.store.delete_older(mine.remembered / 1000)
             except sqlite3.Error as trouble:  # held by another, or its disk is slow: the next start may do it
--- a/gannetfront/release/store.py
+++ b/gannetfront/release/store.py
@@ -9,7 +9,7 @@
 
 from .. import host
 
-STEPS = (  # the migration to each schema version from the one before; they are applied one at a time
+MIGRATIONS = (  # the migration to each schema version from the one before; they are applied one at a time
     """CREATE TABLE deliveries (pipeline TEXT, id TEXT, build INTEGER, at REAL, status INTEGER, answer TEXT,
                                 PRIMARY KEY (pipeline, id));
        CREATE TABLE moves (number INTEGER PRIMARY KEY, at REAL, what TEXT, facts TEXT);
@@ -25,8 +25,8 @@
 )
 
 
-BUSY = 1.0  # seconds that a write waits for the lock of another process
-STARTS = 10  # attempts to open the file: the process that creates it may be waiting for a slow disk
+BUSY_TIMEOUT_S = 1.0  # seconds that a write waits for the lock of another process
+OPEN_ATTEMPTS = 10  # attempts to open the file: the process that creates it may be waiting for a slow disk
 
 
 class BadStore(Exception):
@@ -45,7 +45,7 @@
     def __init__(self, path):
         """Opens the file, or creates it. Raises BadStore."""
         self.epoch, self.seen_data_version = None, None
-        for attempts_left in range(STARTS - 1, -1, -1):
+        for attempts_left in range(OPEN_ATTEMPTS - 1, -1, -1):
             try:
                 return self.open(path)
             except sqlite3.OperationalError as error:
@@ -53,31 +53,31 @@
                 # together on a new file both make.
                 if "locked" not in str(error) or not attempts_left:
                     raise BadStore(f"{path}: {error}") from None
-                host.sleep(100 * BUSY)
+                host.sleep(100 * BUSY_TIMEOUT_S)
             except sqlite3.Error as error:
                 raise BadStore(f"{path}: {error}") from None
 
     def open(self, path):
         """Connects and migrates the schema. Raises sqlite3.Error or BadStore."""
-        self.db = sqlite3.connect(path, isolation_level=None, timeout=BUSY, check_same_thread=False)
+        self.db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S, check_same_thread=False)
         try:
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
             # The version is read before anything is locked: a process that only reads must not delay the
             # leader's writes.
-            while self.schema_version() < len(STEPS):
+            while self.schema_version() < len(MIGRATIONS):
                 # One transaction for each version: a process killed within it leaves the version before. The
                 # second of two processes that start at once finds the version already there.
                 with self.transaction(fenced=False):
                     version = self.schema_version()
-                    if version < len(STEPS):
-                        for statement in STEPS[version].split(";"):
+                    if version < len(MIGRATIONS):
+                        for statement in MIGRATIONS[version].split(";"):
                             self.db.execute(statement)
                         self.db.execute(f"PRAGMA user_version={version + 1}")
-            if self.schema_version() > len(STEPS):
+            if self.schema_version() > len(MIGRATIONS):
                 raise BadStore(
                     f"{path}: written by a later version (schema {self.schema_version()}, "
-                    f"newest supported {len(STEPS)})"
+                    f"newest supported {len(MIGRATIONS)})"
                 )
         except BaseException:
             self.db.close()
@@ -289,7 +289,7 @@
         self.db.close()
 
 
-class Aside:
+class ThreadedStore:
     """A Store whose methods run in one worker thread, in the order of the calls. The calling greenlet
     waits for the disk while the other greenlets of the controller go on."""
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -25,7 +25,7 @@
 from gannetfront.release.sending import Sender
 from gannetfront.release.serve import Controller
 from gannetfront.release.stages import Stages
-from gannetfront.release.store import STEPS, Aside, BadStore, Fenced, Store
+from gannetfront.release.store import MIGRATIONS, ThreadedStore, BadStore, Fenced, Store
 from gannetfront.release.turns import LeaderLease
 from gannetfront.release.webhooks import Pipeline
 from gannetfront.wire import control_pb2 as c, frames, http
@@ -355,7 +355,7 @@
     facts = load.parse(schema.Fleet, FLEET, "f")
     mine = load.parse(schema.Controller, f'name: "{name}" patience: {patience}', "c")
     one = Controller(facts, mine, load.deployment(facts, 0, "", 1.0).rollout, 2, log or Log())
-    one.store = Aside(Store(path))
+    one.store = ThreadedStore(Store(path))
     one.start()
     one.begin()
     return one
@@ -439,7 +439,7 @@
 
 
 def test_a_controller_whose_store_is_held_at_its_start_stands_by_and_then_acts(tmp_path, monkeypatch):
-    monkeypatch.setattr(store_module, "BUSY", 0.01)
+    monkeypatch.setattr(store_module, "BUSY_TIMEOUT_S", 0.01)
     Store(tmp_path / "s").close()
     other = sqlite3.connect(tmp_path / "s", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
@@ -462,13 +462,13 @@
 
 
 def test_a_store_that_another_holds_at_the_start_is_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(store_module, "BUSY", 0.01)
-    monkeypatch.setattr(store_module, "STARTS", 10**6)
+    monkeypatch.setattr(store_module, "BUSY_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(store_module, "OPEN_ATTEMPTS", 10**6)
     other = sqlite3.connect(tmp_path / "s", isolation_level=None)
     other.execute("BEGIN EXCLUSIVE")
     host.later(60, other.execute, "COMMIT")
     assert Store(tmp_path / "s").lease_state() == (0, "", 0)
-    monkeypatch.setattr(store_module, "STARTS", 2)
+    monkeypatch.setattr(store_module, "OPEN_ATTEMPTS", 2)
     other = sqlite3.connect(tmp_path / "t", isolation_level=None)
     other.execute("BEGIN EXCLUSIVE")
     with pytest.raises(BadStore, match="locked"):
@@ -548,14 +548,14 @@
 
 
 def test_migration_killed_at_any_step_is_taken_up(tmp_path):
-    for done in range(len(STEPS)):
+    for done in range(len(MIGRATIONS)):
         path = tmp_path / f"s{done}"
         db = sqlite3.connect(path, isolation_level=None)
         for number in range(done):
-            db.executescript(STEPS[number] + f"PRAGMA user_version={number + 1};")
+            db.executescript(MIGRATIONS[number] + f"PRAGMA user_version={number + 1};")
         # the next step begun and not committed, as a kill within it leaves
         db.execute("BEGIN IMMEDIATE")
-        for statement in STEPS[done].split(";")[:1]:
+        for statement in MIGRATIONS[done].split(";")[:1]:
             db.execute(statement)
         db.close()
         one = Store(path)
