--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -79,7 +79,10 @@
             doors = {
                 p.name: webhooks.Pipeline(
                     p.name,
-                    [webhooks.secret_of((host.read_file(f) or b"").decode().strip()) for f in p.secret_file],
+                    [
+                        webhooks.parse_secret((host.read_file(f) or b"").decode().strip())
+                        for f in p.secret_file
+                    ],
                     p.first,
                     p.last,
                 )
--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -13,7 +13,7 @@
 from ..wire.asking import ask
 from .outbox import Outbox, signed_headers, classify_status
 from .store import Fenced
-from .webhooks import secret_of
+from .webhooks import parse_secret
 
 # Messages of one receiver that are read from the store at once, and the longest time (ms) between two reads.
 MAX_LOADED, POLL_INTERVAL_MS = 256, 1000.0
@@ -41,7 +41,7 @@
         self.tls = (
             ssl.create_default_context(cafile=settings.ca_file or None) if url.scheme == "https" else None
         )
-        self.secret = secret_of((host.read_file(settings.secret_file) or b"").decode().strip())
+        self.secret = parse_secret((host.read_file(settings.secret_file) or b"").decode().strip())
         self.outbox = Outbox(
             random, settings.most_tries, settings.first_wait, settings.longest_wait, settings.at_once
         )
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -246,7 +246,7 @@
         names to webhooks.Pipeline; `tolerance` of timestamps in seconds. The answer is sent after the
         delivery is on disk."""
         try:
-            request = asked(stream, http.RequestReader(16384, webhooks.LONGEST), self.hook_limit)
+            request = asked(stream, http.RequestReader(16384, webhooks.MAX_BODY_BYTES), self.hook_limit)
             if request is None:
                 return
             method, url, headers, body, _ = request
--- a/gannetfront/release/webhooks.py
+++ b/gannetfront/release/webhooks.py
@@ -12,7 +12,7 @@
 
 from ..wire.http import header
 
-LONGEST = 65536  # bytes of a delivery's body
+MAX_BODY_BYTES = 65536  # bytes of a delivery's body
 MAX_ID_LENGTH = 200  # characters of a delivery id
 
 
@@ -33,7 +33,7 @@
         self.name, self.secrets, self.first, self.last = name, list(secrets), first, last
 
 
-def secret_of(text):
+def parse_secret(text):
     """The secret's bytes from its text in the settings: base64 after the prefix `whsec_`, or the text
     itself. Raises ValueError."""
     if text.startswith("whsec_"):
@@ -67,8 +67,8 @@
 def check(pipeline, headers, body, unix_time, tolerance):
     """(delivery id, build) of an authentic and valid delivery. `unix_time` is the present time and
     `tolerance` the permitted deviation of the delivery's timestamp, both in seconds. Raises Refused."""
-    if len(body) > LONGEST:
-        raise Refused(413, f"past {LONGEST} bytes")
+    if len(body) > MAX_BODY_BYTES:
+        raise Refused(413, f"past {MAX_BODY_BYTES} bytes")
     standard_signature, hub_signature = (
         header_text(headers, b"webhook-signature"),
         header_text(headers, b"x-hub-signature-256"),
