--- a/bench/release.py
+++ b/bench/release.py
@@ -101,7 +101,7 @@
     )
     one.store = Store(store)
     one.start()
-    one.begin()
+    one.join_election()
     return one
 
 
--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -99,7 +99,7 @@
         host.replace_file(
             ready_file, " ".join([one.listener.where, *([hooks.where] if mine.hooks_listen else [])]).encode()
         )
-    one.begin()
+    one.join_election()
     scripted.schedule(one)
     host.on_signal(("SIGTERM", "SIGINT"), scripted.close)
     scripted.done.wait()
--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -57,7 +57,7 @@
         # store's disk.
         self.actions = []
 
-    def begin(self):
+    def start(self):
         """Starts sending when this controller becomes the leader; messages that are due are read from the
         store."""
         self.outbox.clear()
@@ -70,7 +70,7 @@
             self.results.put(None)
 
     def run(self):
-        """Sends until stopped, fenced off by a new leader, or replaced by the next `begin`."""
+        """Sends until stopped, fenced off by a new leader, or replaced by the next `start`."""
         events, generation = [], self.generation
         while not self.stopped and self.generation == generation:
             try:
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -75,7 +75,7 @@
         )
         self.story, self.barred, self.store = lambda what, facts: None, set(), None
         self.calendar, self.senders, self.trail, self.hook_limit = None, [], None, WEBHOOK_TIMEOUT_MS
-        self.box, self.done, self.acting, self.closing = host.Mailbox(65536), host.Once(), False, False
+        self.box, self.done, self.leading, self.closing = host.Mailbox(65536), host.Once(), False, False
         # A round waits for the store's disk. Whatever else changes the stages must not interrupt it.
         self.round_lock = host.Turnstile()
         # For refusals: closing at once could discard an answer that the peer has not read yet.
@@ -98,10 +98,10 @@
 
     # ---- leader election ----
 
-    def acts(self):
+    def is_leader(self):
         """True while this controller is the leader and its lease is valid by its own clock, whatever the
         store said last."""
-        return self.acting and (not self.store or self.leader_lease.is_valid(host.now()))
+        return self.leading and (not self.store or self.leader_lease.is_valid(host.now()))
 
     def try_to_lead(self):
         """Becomes the leader if the lease is free, and restores the state from the store."""
@@ -115,20 +115,20 @@
         self.clear()
         self.epoch, self.store.seen_data_version = epoch, None
         self.leader_lease.record_acquisition(begun, host.now(), epoch)
-        # `acting` is set only after the restore. The store is read in a thread, and a proxy that connects
+        # `leading` is set only after the restore. The store is read in a thread, and a proxy that connects
         # meanwhile must not be sent the stage of a fleet at rest.
         self.restore_state()
-        self.acting = True
+        self.leading = True
         self.logger.info("acts", name=self.leader_lease.name, epoch=epoch, before=observed[1])
         for sender in self.senders:
-            sender.begin()
+            sender.start()
 
     def run_election(self):
         """Renews the lease as the leader; as a standby tries to take it over."""
         while True:
             host.sleep(self.leader_lease.renew_every)
             try:
-                if not self.acting:
+                if not self.leading:
                     self.try_to_lead()
                 else:
                     begun = host.now()
@@ -142,9 +142,9 @@
     def step_down(self):
         """Becomes a standby after another controller took over. Closes all links; the peers find the new
         leader when they reconnect."""
-        if not self.acting:
+        if not self.leading:
             return
-        self.acting = False
+        self.leading = False
         self.leader_lease.record_loss(host.now())
         self.logger.warning(
             "leadership lost to another controller", name=self.leader_lease.name, epoch=self.epoch
@@ -167,7 +167,7 @@
                 self.logger.error(
                     "leader lease not released: the store's disk does not answer", for_ms=SHUTDOWN_TIMEOUT_MS
                 )
-        self.acting = False
+        self.leading = False
         for greenlet in self.greenlets:
             host.stop(greenlet)
         self.listener.close()
@@ -176,9 +176,9 @@
 
     def release_leadership(self):
         try:
-            if self.acting:
+            if self.leading:
                 self.round(self.box.drain())
-            if self.acting:
+            if self.leading:
                 self.store.release_lease()
             self.store.close()
         except (sqlite3.Error, Fenced) as error:
@@ -189,7 +189,7 @@
     def start(self):
         """Opens the listener and starts the greenlets."""
         self.listener = host.Listener(self.listen)
-        self.acting = not self.store
+        self.leading = not self.store
         self.greenlets = [
             host.spawn(host.serve, self.listener, self.handle, self.logger, self.max_links),
             *(
@@ -207,17 +207,17 @@
             host.spawn(self.trail.run)  # ends by itself after the trail is closed and written
         self.logger.info("serving", at=self.listener.where)
 
-    def begin(self):
+    def join_election(self):
         """Starts as the leader, or as a standby where another controller leads."""
         if not self.store:
-            self.acting = True
+            self.leading = True
             return self.restore_state()
         try:
             self.try_to_lead()
         # Locked by another process for longer than a write waits; run_election tries again.
         except sqlite3.Error as error:
             self.logger.error("leader lease not read or written", why=str(error))
-        if not self.acting:
+        if not self.leading:
             self.logger.info("stands by", name=self.leader_lease.name)
 
     def restore_state(self):
@@ -278,12 +278,12 @@
         earlier_answer = self.store.find_answer(name, delivery_id)
         if earlier_answer:
             return earlier_answer
-        if not self.acts():
+        if not self.is_leader():
             return 503, json.dumps(dict(error="this controller stands by; another acts")) + "\n"
         with self.round_lock:
             # While this one waited, a repeat of it may have been stored, and leadership may have been lost.
             earlier_answer = self.store.find_answer(name, delivery_id)
-            if earlier_answer or not self.acts():
+            if earlier_answer or not self.is_leader():
                 return earlier_answer or (
                     503,
                     json.dumps(dict(error="another controller acts by now; send it again")) + "\n",
@@ -311,14 +311,14 @@
     def run_rounds(self):
         """Runs a round for each batch of events, and at least one per ROUND_INTERVAL_MS."""
         while not self.closing:
-            if self.acting and not self.acts():
+            if self.leading and not self.is_leader():
                 host.sleep(ROUND_INTERVAL_MS)  # the lease expired: events wait until it is known who leads
                 continue
             first = self.box.take(ROUND_INTERVAL_MS)
             if first:
                 host.sleep(0)  # lets other greenlets add events, which then share this round's write
             events = ([first] if first else []) + self.box.drain()
-            if self.acts() and not self.closing:
+            if self.is_leader() and not self.closing:
                 self.round(self.outside() + events)
 
     def outside(self):
@@ -553,7 +553,7 @@
 
     def handle(self, stream):
         """Serves one connection of a proxy or of the machines until it ends."""
-        if not self.acts():
+        if not self.is_leader():
             try:
                 stream.send(frames.pack(refusal=c.Refusal(why="this controller stands by")), 1000)
             except (OSError, host.Timeout):
@@ -602,7 +602,7 @@
                         link.stream.send(frames.pack(alive=c.Alive()), 4000)
                 # A process that was paused must not send what it had queued: another may be the leader
                 # by now.
-                if not self.acts():
+                if not self.is_leader():
                     return link.stream.close()
                 link.stream.send(data, 4000)
                 if message is not None and link.role == c.PROXY:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -357,7 +357,7 @@
     one = Controller(facts, mine, load.deployment(facts, 0, "", 1.0).rollout, 2, log or Log())
     one.store = ThreadedStore(Store(path))
     one.start()
-    one.begin()
+    one.join_election()
     return one
 
 
@@ -389,7 +389,7 @@
     log = Log()
     first = controller(tmp_path / "s", "a")
     second = controller(tmp_path / "s", "b", log)
-    assert first.acts() and not second.acts()
+    assert first.is_leader() and not second.is_leader()
     assert heard(*link(second), "refusal").why
     first.event("offered", 2)
     until(lambda: first.stages.version == 2)
@@ -400,14 +400,14 @@
     epoch = first.epoch
     # Stopped, as a process that is paused: it renews nothing, says nothing, and does not know that time went by.
     first.store.__dict__["renew_lease"] = lambda: host.sleep(1e9)
-    until(second.acts)
+    until(second.is_leader)
     assert second.stages.version == 2 and second.stages.votes["7"][0] == ON and second.epoch > epoch
-    assert not first.acts(), "two act"
+    assert not first.is_leader(), "two act"
     first.leader_lease.renewed_at = (
         1e18  # even one that believes in its turn writes nothing, and tells nothing
     )
     first.event("offered", 3)
-    until(lambda: not first.acting)
+    until(lambda: not first.leading)
     assert first.stages.version == 1 and second.store.restore()[0]["ver"] == 2
     assert heard(*link(second), "welcome").epoch == second.epoch
     assert ask(second, 4)[0] == 202 and ask(first, 4)[0] == 202 and ask(first, 5, "d5")[0] == 503
@@ -444,9 +444,9 @@
     other = sqlite3.connect(tmp_path / "s", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     one = started(tmp_path / "s", "a")
-    assert not one.acting
+    assert not one.leading
     other.execute("ROLLBACK")
-    until(one.acts)
+    until(one.is_leader)
     one.close()
 
 
@@ -615,7 +615,7 @@
     one.close()
     assert run(*words).exit_code == 0
     again = controller(tmp_path / "s", "a")
-    until(again.acts)  # its own watch of turns may come before its start does
+    until(again.is_leader)  # its own watch of turns may come before its start does
     assert (
         again.stages.version == 2 and again.epoch > before and again.store.history()[-1]["what"] == "restored"
     )
@@ -680,7 +680,7 @@
     )
     one = controller(tmp_path / "s", "a")
     one.senders = [Sender(told, one.store, host.chance(1), Log())]
-    one.senders[0].begin()
+    one.senders[0].start()
     one.event("offered", 2)
     until(lambda: one.stages.version == 2)
     one.event("order", 77, "back", 2, "ops", "it leaks")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -621,7 +621,7 @@
     host.spawn(host.serve, door, lambda stream: one.controller.hook({}, 300.0, stream), Log())
     long = b"POST /hooks/x HTTP/1.1\r\nhost: x\r\ncontent-length: 99999999\r\n\r\n" + b"x" * (200 << 10)
     assert b" 413 " in heard(plainly(door.where, long))
-    one.controller.acting = False
+    one.controller.leading = False
     assert b"stands by" in heard(plainly(one.control, b"x" * 9000))
     door.close()
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -256,7 +256,7 @@
         fleet, schema.Controller(), load.deployment(fleet, 0, "", 1.0).rollout, 2, log or Log()
     )
     controller.store = Store(path)
-    controller.begin()
+    controller.join_election()
     return controller
 
 
