--- a/bench/release.py
+++ b/bench/release.py
@@ -79,7 +79,7 @@
     fleet = load.parse(schema.Fleet, fleet_text, "f")
     one = Controller(fleet, schema.Controller(), load.deployment(fleet, 0, "", 1.0).rollout, 0, Quiet())
     one.start()
-    one.on_report(
+    one.apply_report(
         c.Report(
             slot=0,
             node=c.Node(
@@ -146,7 +146,7 @@
                 one.event("gone", message.slot)
             return True
 
-    one.links["0"], one.machines = Heard(c.PROXY), Heard(c.MACHINES)
+    one.links["0"], one.machine_link = Heard(c.PROXY), Heard(c.MACHINES)
     one.stages.resend_slots(one)
     number = 0
     while True:
@@ -161,7 +161,7 @@
             say("ordered", one.store.add_order("resume", s.version, "bench", "x"))
         else:
             one.event("vote", "0", number, s.stage, s.version, ON if what < 0.9 else BACK)
-        one.round(one.outside() + one.box.drain())
+        one.round(one.external_events() + one.event_queue.drain())
         host.sleep(float(draw.random() * 2))
 
 
--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -90,7 +90,11 @@
             }
             hooks = host.Listener(mine.hooks_listen)
             host.spawn(
-                host.serve, hooks, lambda stream: one.hook(doors, mine.tolerance / 1000, stream), log, 256
+                host.serve,
+                hooks,
+                lambda stream: one.serve_webhook(doors, mine.tolerance / 1000, stream),
+                log,
+                256,
             )
             log.info("webhooks", at=hooks.where, pipelines=sorted(doors))
     except (OSError, ValueError, BadStore) as trouble:
--- a/gannetfront/release/scripted.py
+++ b/gannetfront/release/scripted.py
@@ -67,7 +67,7 @@
         if not self.day:
             return
         if self.events:
-            controller.story = lambda what, facts: self.events.add(
+            controller.on_decision = lambda what, facts: self.events.add(
                 host.now(), what, str(facts.get("proxy", facts.get("build", ""))), repr(facts)
             )
         # Build 1 is the fleet at rest, so the first offer is build 2.
@@ -80,11 +80,11 @@
     def cut(self, controller, trouble):
         """Resets the links of the affected proxies and refuses their reconnection until the cut ends."""
         affected = {str(n) for n in self.day.struck(trouble, self.day.proxies)}
-        controller.barred |= affected
+        controller.blocked_proxies |= affected
         for proxy_id in affected & set(controller.links):
             controller.links[proxy_id].stream.reset()
         host.sleep(self.start + trouble.until - host.now())
-        controller.barred -= affected
+        controller.blocked_proxies -= affected
 
     def close(self):
         """Finishes the records and releases whoever waits for `done`."""
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -73,9 +73,14 @@
             mine.most_links,
             LeaderLease(mine.name, mine.patience),
         )
-        self.story, self.barred, self.store = lambda what, facts: None, set(), None
-        self.calendar, self.senders, self.trail, self.hook_limit = None, [], None, WEBHOOK_TIMEOUT_MS
-        self.box, self.done, self.leading, self.closing = host.Mailbox(65536), host.Once(), False, False
+        self.on_decision, self.blocked_proxies, self.store = lambda what, facts: None, set(), None
+        self.calendar, self.senders, self.trail, self.webhook_timeout = None, [], None, WEBHOOK_TIMEOUT_MS
+        self.event_queue, self.done, self.leading, self.closing = (
+            host.Mailbox(65536),
+            host.Once(),
+            False,
+            False,
+        )
         # A round waits for the store's disk. Whatever else changes the stages must not interrupt it.
         self.round_lock = host.Turnstile()
         # For refusals: closing at once could discard an answer that the peer has not read yet.
@@ -88,13 +93,13 @@
         # Revisions start again from 0, so the epoch must be new: under an earlier epoch a proxy whose
         # revision happens to agree would mistake its old list for the present one.
         self.epoch, self.stages = int(host.wall() * 1000), self.new_stages()
-        self.links, self.machines, self.machine_backlog, self.reported_at = {}, None, [], {}
+        self.links, self.machine_link, self.machine_backlog, self.reported_at = {}, None, [], {}
         self.nodes, self.slot_of, self.revision, self.history, self.tally_rows = {}, {}, 0, [], {}
         self.moves, self.pending, self.dirty, self.in_round = [], [], False, False
         self.writing, self.list_pending = False, False
         self.nodes_known, self.new_peers = True, {}
         self.taken_orders, self.order_answers, self.outgoing, self.active_freeze = set(), [], [], None
-        self.box.drain()
+        self.event_queue.drain()
 
     # ---- leader election ----
 
@@ -150,7 +155,7 @@
             "leadership lost to another controller", name=self.leader_lease.name, epoch=self.epoch
         )
         self.store.epoch = None
-        for link in [*self.links.values(), *([self.machines] if self.machines else [])]:
+        for link in [*self.links.values(), *([self.machine_link] if self.machine_link else [])]:
             link.stream.close()
         self.clear()
 
@@ -177,7 +182,7 @@
     def release_leadership(self):
         try:
             if self.leading:
-                self.round(self.box.drain())
+                self.round(self.event_queue.drain())
             if self.leading:
                 self.store.release_lease()
             self.store.close()
@@ -237,20 +242,20 @@
                 away_s=round(downtime, 3),
             )
         else:
-            self.box.put(("begin",))
+            self.event_queue.put(("begin",))
 
     # ---- webhooks of pipelines ----
 
-    def hook(self, pipelines, tolerance, stream):
+    def serve_webhook(self, pipelines, tolerance, stream):
         """Serves one connection of a pipeline, with a request `POST /hooks/<pipeline>`. `pipelines` maps
         names to webhooks.Pipeline; `tolerance` of timestamps in seconds. The answer is sent after the
         delivery is on disk."""
         try:
-            request = asked(stream, http.RequestReader(16384, webhooks.MAX_BODY_BYTES), self.hook_limit)
+            request = asked(stream, http.RequestReader(16384, webhooks.MAX_BODY_BYTES), self.webhook_timeout)
             if request is None:
                 return
             method, url, headers, body, _ = request
-            status, text = self.delivered(pipelines, tolerance, method, url, headers, body)
+            status, text = self.handle_delivery(pipelines, tolerance, method, url, headers, body)
             stream.send(
                 http.answer(status, [(b"content-type", b"application/json")], text.encode(), False), 5000
             )
@@ -264,7 +269,7 @@
         finally:
             self.lingering_closes.close(stream)
 
-    def delivered(self, pipelines, tolerance, method, url, headers, body):
+    def handle_delivery(self, pipelines, tolerance, method, url, headers, body):
         """(HTTP status, JSON text) in answer to a webhook. A repeated delivery gets the answer that the
         first one got, whatever has happened since."""
         name = url.decode("latin-1").partition("?")[0].removeprefix("/hooks/")
@@ -314,14 +319,14 @@
             if self.leading and not self.is_leader():
                 host.sleep(ROUND_INTERVAL_MS)  # the lease expired: events wait until it is known who leads
                 continue
-            first = self.box.take(ROUND_INTERVAL_MS)
+            first = self.event_queue.take(ROUND_INTERVAL_MS)
             if first:
                 host.sleep(0)  # lets other greenlets add events, which then share this round's write
-            events = ([first] if first else []) + self.box.drain()
+            events = ([first] if first else []) + self.event_queue.drain()
             if self.is_leader() and not self.closing:
-                self.round(self.outside() + events)
+                self.round(self.external_events() + events)
 
-    def outside(self):
+    def external_events(self):
         """Events from outside the event queue: calendar freezes, and operators' orders in the store."""
         events = []
         why = self.calendar.freeze_reason(host.wall()) if self.calendar else None
@@ -408,7 +413,7 @@
 
     def event(self, *event):
         """Queues an event (a name and its arguments) for the next round."""
-        if not self.box.put(event):
+        if not self.event_queue.put(event):
             self.logger.error("event dropped: the event queue is full", event=event[0])
 
     # ---- the writer of Stages ----
@@ -435,8 +440,8 @@
     def send_to_machines(self, data):
         """Sends to the machines; without a link, keeps `data` until they connect."""
         self.dirty = True
-        if self.machines:
-            self.send_when_stored(self.machines, 0.0, data)
+        if self.machine_link:
+            self.send_when_stored(self.machine_link, 0.0, data)
         else:
             self.machine_backlog.append(data)
 
@@ -460,7 +465,7 @@
                 body = outbox.event_body(outbox.EVENT_TYPES[facts["phase"]], facts, host.wall())
                 self.outgoing += [(sender.name, facts["build"], body) for sender in self.senders]
         self.logger.info(what, **facts)
-        self.story(what, facts)
+        self.on_decision(what, facts)
 
     def send_stage(self, link, number=None, status=c.OK):
         """Sends the present stage: as news, or as the answer to the proxy's vote `number`, which is not
@@ -523,7 +528,7 @@
             message = c.NodeList(revision=revision, whole=whole, nodes=nodes, epoch=self.epoch)
             self.send_list_in_order(link, due, frames.pack(list=message), message)
 
-    def on_report(self, report):
+    def apply_report(self, report):
         """Applies a report of the machines about one node, and sends the change to the proxies."""
         node, known = report.node, self.nodes.get(report.node.id)
         if known and known.incarnation > node.incarnation and self.slot_of.get(node.id) == report.slot:
@@ -583,8 +588,8 @@
             if self.links.get(link.id) is link:
                 del self.links[link.id]
                 self.logger.info("proxy disconnected", id=link.id)
-            if self.machines is link:
-                self.machines = None
+            if self.machine_link is link:
+                self.machine_link = None
 
     def write_queue(self, link):
         """Sends the queued messages of a link in order; a delayed one also delays those behind it. Sends
@@ -615,13 +620,13 @@
     def from_hello(self, link, message):
         link.role, link.id = message.role, message.id
         if message.role == c.MACHINES:
-            self.machines = link
+            self.machine_link = link
             backlog, self.machine_backlog = self.machine_backlog, []
             for data in backlog:
                 link.put(0.0, data)
             self.stages.resend_slots(self)
             return
-        if message.id in self.barred:  # cut off by a script
+        if message.id in self.blocked_proxies:  # cut off by a script
             link.stream.reset()
             return
         previous = self.links.get(message.id)
@@ -671,7 +676,7 @@
         if link.role != c.MACHINES:
             return
         if message.HasField("node"):
-            self.on_report(message)
+            self.apply_report(message)
         if message.all and not self.nodes_known:
             self.nodes_known = True
             for proxy_link in list(self.links.values()):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -111,7 +111,7 @@
 
     def list(self, node, state=c.READY, slot=None, build=1, incarnation=1, age=-1.0):
         slot = self.nodes.index(node) if slot is None else slot
-        self.controller.on_report(
+        self.controller.apply_report(
             c.Report(
                 slot=slot,
                 node=c.Node(
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -427,7 +427,9 @@
     try:
         one.event("offered", 2)
         until(lambda: one.writing and one.stages.version == 2)
-        one.on_report(c.Report(slot=0, node=c.Node(id="n", state=c.READY, build=1, incarnation=1, age=1.0)))
+        one.apply_report(
+            c.Report(slot=0, node=c.Node(id="n", state=c.READY, build=1, incarnation=1, age=1.0))
+        )
         while old and not heard(*old, "list").nodes:
             pass
         new = link(one)
@@ -481,7 +483,7 @@
         (b"x-delivery-id", ident.encode()),
         (b"x-hub-signature-256", b"sha256=" + hmac.digest(SECRET, body, "sha256").hex().encode()),
     ]
-    return one.delivered({"ci": Pipeline("ci", [SECRET])}, 300.0, b"POST", b"/hooks/ci", headers, body)
+    return one.handle_delivery({"ci": Pipeline("ci", [SECRET])}, 300.0, b"POST", b"/hooks/ci", headers, body)
 
 
 @pytest.mark.parametrize(
@@ -506,10 +508,13 @@
 )  # and then nothing more
 def test_deliveries_too_large_or_too_slow_are_let_go(tmp_path, controller, sent, status):
     one = controller(tmp_path / "s", "a")
-    one.hook_limit = 150.0
+    one.webhook_timeout = 150.0
     door = host.Listener("127.0.0.1:0")
     host.spawn(
-        host.serve, door, lambda stream: one.hook({"ci": Pipeline("ci", [SECRET])}, 300.0, stream), Log()
+        host.serve,
+        door,
+        lambda stream: one.serve_webhook({"ci": Pipeline("ci", [SECRET])}, 300.0, stream),
+        Log(),
     )
     stream = host.connect(door.where, 1000)
     stream.send(sent, 1000)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -618,7 +618,7 @@
     """A webhook that is too long, and a proxy that comes to one that stands by, with more unread behind both."""
     one = rig(Node(), kind=Rig)
     door = host.Listener("127.0.0.1:0")
-    host.spawn(host.serve, door, lambda stream: one.controller.hook({}, 300.0, stream), Log())
+    host.spawn(host.serve, door, lambda stream: one.controller.serve_webhook({}, 300.0, stream), Log())
     long = b"POST /hooks/x HTTP/1.1\r\nhost: x\r\ncontent-length: 99999999\r\n\r\n" + b"x" * (200 << 10)
     assert b" 413 " in heard(plainly(door.where, long))
     one.controller.leading = False
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -391,13 +391,13 @@
     one = rig(Node(ok(b"one")), Node(ok(b"two")), listed=False)
     one.list(one.nodes[0])
     host.sleep(30)
-    one.controller.barred.add("0")
+    one.controller.blocked_proxies.add("0")
     one.controller.links["0"].stream.reset()
     one.until(lambda: not one.proxy.link.up)
     one.list(one.nodes[1])
     one.list(one.nodes[0], c.GONE)
     assert one.ask()[2].body == b"one"  # served from the last list meanwhile
-    one.controller.barred.clear()
+    one.controller.blocked_proxies.clear()
     one.until(lambda: one.proxy.kept.revision == one.controller.revision)
     assert [h[0] for h in one.controller.history] == [1, 2, 3]
     host.sleep(20)
@@ -415,12 +415,12 @@
 def test_history_gone_means_the_whole_list(rig):
     one = rig(Node())
     one.controller.history_size = 2
-    one.controller.barred.add("0")
+    one.controller.blocked_proxies.add("0")
     one.controller.links["0"].stream.reset()
     one.until(lambda: not one.proxy.link.up)
     for n in range(5):
         one.list(one.nodes[0], incarnation=n + 2, age=1.0)
-    one.controller.barred.clear()
+    one.controller.blocked_proxies.clear()
     one.until(lambda: one.proxy.kept.revision == one.controller.revision)
     assert one.log.said("proxy here")[-1]["resumed"] is False
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -262,17 +262,17 @@
 
 def deliver(controller, body=BODY, delivery_id="d1", **options):
     """The controller's (status, text) for a webhook."""
-    return controller.delivered(
+    return controller.handle_delivery(
         {"ci": PIPELINE}, 300.0, b"POST", b"/hooks/ci", github_headers(body, delivery_id, **options), body
     )
 
 
 def test_a_repeated_delivery_gets_the_first_answer_even_after_a_restart(tmp_path):
     controller = start_controller(tmp_path / "s")
-    controller.round(controller.box.drain())
+    controller.round(controller.event_queue.drain())
     first = deliver(controller)
     assert first[0] == 202 and deliver(controller) == first
-    controller.round(controller.box.drain())
+    controller.round(controller.event_queue.drain())
     assert (controller.stages.version, controller.stages.phase) == (7, TRIAL)
     restarted = start_controller(tmp_path / "s")
     assert deliver(restarted) == first and (restarted.stages.version, restarted.stages.phase) == (7, TRIAL)
@@ -284,7 +284,7 @@
 
 def test_an_answered_offer_survives_a_crash_before_the_next_round(tmp_path):
     controller = start_controller(tmp_path / "s")
-    controller.round(controller.box.drain())
+    controller.round(controller.event_queue.drain())
     assert (
         deliver(controller)[0] == 202 and deliver(controller, b'{"build": 8}', "d2")[0] == 202
     )  # crashes before its next round
@@ -297,7 +297,7 @@
 def test_no_decision_is_sent_that_could_not_be_stored(tmp_path):
     log = Log()
     controller = start_controller(tmp_path / "s", log)
-    controller.round(controller.box.drain())
+    controller.round(controller.event_queue.drain())
 
     class RecordingLink:
         sent = []
@@ -325,7 +325,7 @@
 
 def test_a_snapshot_is_complete(tmp_path):
     controller = start_controller(tmp_path / "s")
-    controller.round(controller.box.drain())
+    controller.round(controller.event_queue.drain())
     controller.store.snapshot(tmp_path / "copy")
     assert Store(tmp_path / "copy").restore()[0] == controller.store.restore()[0]
     assert host.wall() > 0
