--- a/bench/release.py
+++ b/bench/release.py
@@ -79,7 +79,7 @@
     fleet = load.parse(schema.Fleet, fleet_text, "f")
     one = Controller(fleet, schema.Controller(), load.deployment(fleet, 0, "", 1.0).rollout, 0, Quiet())
     one.start()
-    one.on_report(
+    one.apply_report(
         c.Report(
             slot=0,
             node=c.Node(
@@ -101,7 +101,7 @@
     )
     one.store = Store(store)
     one.start()
-    one.begin()
+    one.join_election()
     return one
 
 
@@ -146,7 +146,7 @@
                 one.event("gone", message.slot)
             return True
 
-    one.links["0"], one.machines = Heard(c.PROXY), Heard(c.MACHINES)
+    one.links["0"], one.machine_link = Heard(c.PROXY), Heard(c.MACHINES)
     one.stages.resend_slots(one)
     number = 0
     while True:
@@ -156,12 +156,12 @@
         if what < 0.1:
             one.event("offered", s.version + 1)
         elif what < 0.2:
-            say("ordered", one.store.put_order("back" if what < 0.15 else "hold", s.version, "bench", "x"))
+            say("ordered", one.store.add_order("back" if what < 0.15 else "hold", s.version, "bench", "x"))
         elif what < 0.25:
-            say("ordered", one.store.put_order("resume", s.version, "bench", "x"))
+            say("ordered", one.store.add_order("resume", s.version, "bench", "x"))
         else:
             one.event("vote", "0", number, s.stage, s.version, PROMOTE if what < 0.9 else ROLL_BACK)
-        one.round(one.outside() + one.box.drain())
+        one.round(one.external_events() + one.event_queue.drain())
         host.sleep(float(draw.random() * 2))
 
 
@@ -478,7 +478,7 @@
         while not heard:
             host.sleep(5)
         host.sleep(300 + 37 * turn)
-        acting = Store(f"{folder}/s").turn()[1]
+        acting = Store(f"{folder}/s").lease_state()[1]
         processes[acting].kill()
         begun = host.now()
         while heard[-1][0] < begun + 1 or not link.up:
--- a/gannetfront/cli/release.py
+++ b/gannetfront/cli/release.py
@@ -37,7 +37,7 @@
     from ..release.scripted import ControllerScript
     from ..release.sending import Sender
     from ..release.serve import Controller
-    from ..release.store import Aside, BadStore, Store
+    from ..release.store import ThreadedStore, BadStore, Store
     from ..trail.log import Trail
 
     log = logs("gannet-release", log_level)
@@ -58,9 +58,9 @@
             scripted.record_message,
         )
         if mine.store:
-            one.store = Aside(Store(mine.store))
+            one.store = ThreadedStore(Store(mine.store))
             try:
-                one.store.forget(mine.remembered / 1000)
+                one.store.delete_older(mine.remembered / 1000)
             except sqlite3.Error as trouble:  # held by another, or its disk is slow: the next start may do it
                 log.warning("store not tidied", why=str(trouble))
         one.calendar = Calendar(mine.freeze)
@@ -79,7 +79,10 @@
             doors = {
                 p.name: webhooks.Pipeline(
                     p.name,
-                    [webhooks.secret_of((host.read_file(f) or b"").decode().strip()) for f in p.secret_file],
+                    [
+                        webhooks.parse_secret((host.read_file(f) or b"").decode().strip())
+                        for f in p.secret_file
+                    ],
                     p.first,
                     p.last,
                 )
@@ -87,7 +90,11 @@
             }
             hooks = host.Listener(mine.hooks_listen)
             host.spawn(
-                host.serve, hooks, lambda stream: one.hook(doors, mine.tolerance / 1000, stream), log, 256
+                host.serve,
+                hooks,
+                lambda stream: one.serve_webhook(doors, mine.tolerance / 1000, stream),
+                log,
+                256,
             )
             log.info("webhooks", at=hooks.where, pipelines=sorted(doors))
     except (OSError, ValueError, BadStore) as trouble:
@@ -96,7 +103,7 @@
         host.replace_file(
             ready_file, " ".join([one.listener.where, *([hooks.where] if mine.hooks_listen else [])]).encode()
         )
-    one.begin()
+    one.join_election()
     scripted.schedule(one)
     host.on_signal(("SIGTERM", "SIGINT"), scripted.close)
     scripted.done.wait()
@@ -141,7 +148,7 @@
     if not known:
         raise SystemExit(complain(f"{store}: no controller has begun") and 1)
     saved, away = known
-    epoch, holder, beat = one.turn()
+    epoch, holder, beat = one.lease_state()
     waits = next((m["why"] for m in reversed(one.history(200)) if m["what"] in ("waits", "stage")), "")
     facts = dict(
         build=saved["ver"],
@@ -156,8 +163,8 @@
         beat=beat,
         written_s_ago=round(away, 3),
         last_reason=waits,
-        due=len(one.letters("due", most=10000)),
-        dead=len(one.letters("dead", most=10000)),
+        due=len(one.messages("due", limit=10000)),
+        dead=len(one.messages("dead", limit=10000)),
     )
     shown(as_json, facts, "\n".join(f"{k:14} {v}" for k, v in facts.items()))
 
@@ -167,8 +174,8 @@
     if not by.strip() or not why.strip():
         raise SystemExit(complain("--by and --why must say something"))
     one = opened(store)
-    number, end = one.put_order(kind, build, by, why), host.now() + limit
-    while one.order(number)[0] == "new" and host.now() < end:
+    number, end = one.add_order(kind, build, by, why), host.now() + limit
+    while one.order_result(number)[0] == "new" and host.now() < end:
         host.sleep(20)
     if one.withdraw_order(number):  # not so where it is taken up at the last moment
         shown(
@@ -177,7 +184,7 @@
             f"no controller took it up within {limit:g} ms; the order is withdrawn",
         )
         raise SystemExit(3)
-    state, answer = one.order(number)
+    state, answer = one.order_result(number)
     shown(as_json, dict(order=number, state=state, answer=answer), f"{state}: {answer}")
     raise SystemExit(0 if state == "done" else 1)
 
@@ -215,7 +222,7 @@
 def letters(store, again, numbers, as_json):
     """What could not be sent to a receiver and was given up."""
     one = opened(store)
-    for number, receiver, build, body, at, tries, why in one.letters("dead", most=10000):
+    for number, receiver, build, body, at, tries, why in one.messages("dead", limit=10000):
         if not numbers or number in numbers:
             shown(
                 as_json,
@@ -231,7 +238,7 @@
                 f"{number:6} {receiver} build {build} {json.loads(body)['type']} after {tries} tries: {why}",
             )
     if again:
-        click.echo(f"{one.send_again(set(numbers) or None)} made due again", err=True)
+        click.echo(f"{one.requeue_dead(set(numbers) or None)} made due again", err=True)
 
 
 @main.command()
@@ -255,9 +262,9 @@
 def restore(copy, store, by, why):
     """Put what a snapshot holds into the place of the STORE's. No controller may act on it."""
     one, other = opened(store), opened(copy)
-    if one.turn()[1]:
-        raise SystemExit(complain(f"{store}: '{one.turn()[1]}' acts on it; stop it first") and 1)
-    one.take_from(other, by, why)
+    if one.lease_state()[1]:
+        raise SystemExit(complain(f"{store}: '{one.lease_state()[1]}' acts on it; stop it first") and 1)
+    one.replace_contents(other, by, why)
     click.echo(f"{store}: as in {copy}")
 
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -391,13 +391,13 @@
     rig = make_rig(Node(ok(b"one")), Node(ok(b"two")), listed=False)
     rig.list(rig.nodes[0])
     host.sleep(30)
-    rig.controller.barred.add("0")
+    rig.controller.blocked_proxies.add("0")
     rig.controller.links["0"].stream.reset()
     rig.until(lambda: not rig.proxy.link.up)
     rig.list(rig.nodes[1])
     rig.list(rig.nodes[0], c.GONE)
     assert rig.ask()[2].body == b"one"  # served from the last list while the link is down
-    rig.controller.barred.clear()
+    rig.controller.blocked_proxies.clear()
     rig.until(lambda: rig.proxy.kept.revision == rig.controller.revision)
     assert [h[0] for h in rig.controller.history] == [1, 2, 3]
     host.sleep(20)
@@ -415,12 +415,12 @@
 def test_whole_list_is_sent_once_the_history_is_gone(make_rig):
     rig = make_rig(Node())
     rig.controller.history_size = 2
-    rig.controller.barred.add("0")
+    rig.controller.blocked_proxies.add("0")
     rig.controller.links["0"].stream.reset()
     rig.until(lambda: not rig.proxy.link.up)
     for n in range(5):
         rig.list(rig.nodes[0], incarnation=n + 2, age=1.0)
-    rig.controller.barred.clear()
+    rig.controller.blocked_proxies.clear()
     rig.until(lambda: rig.proxy.kept.revision == rig.controller.revision)
     assert rig.log.said("proxy here")[-1]["resumed"] is False
 
