--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -310,7 +310,7 @@
             self.sent.append(message)
 
     controller.links["0"] = link = RecordingLink()
-    controller.store.db.execute("PRAGMA query_only=PROMOTE")  # like a full disk: every write fails
+    controller.store.db.execute("PRAGMA query_only=ON")  # like a full disk: every write fails
     controller.round([("offered", 7)])
     assert log.said("state not kept") and not link.sent and deliver(controller, b'{"build": 9}')[0] == 503
     controller.store.db.execute("PRAGMA query_only=OFF")
