--- a/gannetfront/duties/acts.py
+++ b/gannetfront/duties/acts.py
@@ -76,8 +76,8 @@
     Each proxy reports its own last step, so a new holder needs no information from its predecessor."""
 
     def __init__(self, proxies, interval, started_step=0):
-        """`interval` is the ms between rounds. `started_step` is a step known to have begun, as the proxy
-        that did it may be unreachable."""
+        """`interval` is the ms between rounds. `started_step` is a step known to have begun, even
+        where the only proxy that has done it is unreachable."""
         self.proxies = list(proxies)
         self.interval = interval
         self.completed = {}
--- a/gannetfront/duties/lease.py
+++ b/gannetfront/duties/lease.py
@@ -29,14 +29,14 @@
 
 
 def span_upper_bound(span, rate):
-    """The least ms that a local clock must count before `span` ms are over on every clock within `rate` of
-    true time."""
+    """ms that a local clock must count so that at least `span` ms have passed on every clock whose rate is
+    within `rate` of true time."""
     return span * (1 + rate) / (1 - rate)
 
 
 def span_lower_bound(span, rate):
-    """The most ms that a local clock may count while `span` ms are not over on any clock within `rate` of
-    true time."""
+    """ms that a local clock may count while at most `span` ms have passed on any clock whose rate is within
+    `rate` of true time."""
     return span * (1 - rate) / (1 + rate)
 
 
@@ -133,7 +133,7 @@
         """Ends the attempt and schedules the next; `remaining` is the ms left of another holder's lease, 0
         where there is none."""
         # The random back-off widens with each attempt that failed while nobody held the lease: thirty
-        # candidates that wake together must not invalidate each other's ballots for ever. The holder itself
+        # candidates that start together must not invalidate each other's ballots for ever. The holder itself
         # retries soon.
         self.phase, self.failed_attempts = None, 0 if remaining else min(self.failed_attempts + 1, 5)
         self.next_attempt_at = (
@@ -151,6 +151,7 @@
             self.immediate_retries, self.next_attempt_at = self.immediate_retries - 1, now
 
     def start_attempt(self, now, out):
+        """Sends a prepare request with a new ballot to all electors."""
         self.round += 1
         self.ballot = (self.round, self.me, self.life)
         self.phase = "prepare"
@@ -245,6 +246,7 @@
             out.gained(self.token)
 
     def step_down(self, why, out):
+        """Ends the lease at this candidate only; the electors are not notified."""
         self.token, self.lost_reason = None, why
         out.lost(why)
 
