--- a/gannetfront/release/sending.py
+++ b/gannetfront/release/sending.py
@@ -15,8 +15,8 @@
 from .store import Fenced
 from .webhooks import parse_secret
 
-# Messages of one receiver that are read from the store at once, and the longest time (ms) between two reads.
-MAX_LOADED, POLL_INTERVAL_MS = 256, 1000.0
+MAX_LOADED = 256  # messages of one receiver that are read from the store at once
+POLL_INTERVAL_MS = 1000.0  # longest time between two reads of the messages that are due
 
 
 class Sender:
@@ -25,12 +25,10 @@
     def __init__(self, settings, store, random, log):
         """`settings` is a validated Receiver message; `random` spreads the retries. Raises ValueError or
         OSError where the settings cannot work."""
-        self.name, self.store, self.log, self.answer_timeout = (
-            settings.name,
-            store,
-            log,
-            settings.answer_limit,
-        )
+        self.name = settings.name
+        self.store = store
+        self.log = log
+        self.answer_timeout = settings.answer_limit  # ms
         url = urlsplit(settings.url)
         if url.scheme not in ("http", "https") or not url.hostname:
             raise ValueError(f"receiver {self.name}: '{settings.url}' is not an http or https URL")
@@ -45,14 +43,12 @@
         self.outbox = Outbox(
             random, settings.most_tries, settings.first_wait, settings.longest_wait, settings.at_once
         )
-        # Results of attempts and wake-ups; messages in memory by number; `generation` tells results of
-        # attempts that began before the last reload from current ones.
-        self.results, self.messages, self.stopped, self.generation = (
-            host.Mailbox(4 * MAX_LOADED),
-            {},
-            False,
-            0,
-        )
+        # Results of attempts, as (generation, event); None only wakes up the sender.
+        self.results = host.Mailbox(4 * MAX_LOADED)
+        self.messages = {}  # rows of the store by the message's number
+        self.stopped = False
+        # Grows with each reload from the store; results of attempts of an earlier generation are ignored.
+        self.generation = 0
         # Decisions of a round of the outbox. They are carried out after the round, because they wait for the
         # store's disk.
         self.actions = []
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -19,9 +19,9 @@
 
 WIRE_STATUS = {SUCCEEDED: c.OK, MOOT: c.MOOT, FULL: c.FULL}
 ROUND_INTERVAL_MS = 25.0  # longest time between two rounds
-# How often a sign of life from a proxy becomes an event, how often new proxies are announced, and within
-# what time a webhook must have arrived completely.
-HEARD_INTERVAL_MS, PEERS_INTERVAL_MS, WEBHOOK_TIMEOUT_MS = 1000.0, 100.0, 10000.0
+HEARD_INTERVAL_MS = 1000.0  # shortest time between two events about signs of life of one proxy
+PEERS_INTERVAL_MS = 100.0  # time between two announcements of new proxies
+WEBHOOK_TIMEOUT_MS = 10000.0  # within which a webhook must have arrived completely
 SHUTDOWN_TIMEOUT_MS = 3000.0  # how long the shutdown waits for the store's disk
 
 
@@ -30,13 +30,11 @@
 
     def __init__(self, stream, capacity):
         """`capacity` is the greatest number of queued messages."""
-        self.stream, self.queue, self.id, self.role, self.capacity = (
-            stream,
-            host.Mailbox(capacity),
-            None,
-            None,
-            capacity,
-        )
+        self.stream = stream
+        self.queue = host.Mailbox(capacity)
+        self.id = None
+        self.role = None
+        self.capacity = capacity
         self.heard = -1e18
 
     def put(self, due, data, message=None):
@@ -57,30 +55,32 @@
         """`fleet` and `mine` are the settings of the fleet and of this controller, `rollout` an
         interface.Rollout, `size` the number of nodes at rest. A script may delay news by `news_delay()` ms.
         `on_sent(at, proxy, message)` is called as each list or stage is sent to a proxy."""
-        self.logger, self.news_delay, self.on_sent = log, news_delay, on_sent or (lambda *x: None)
+        self.logger = log
+        self.news_delay = news_delay
+        self.on_sent = on_sent or (lambda *x: None)
         rollout.__dict__["vote_allowance"] = fleet.rollout.vote_allowance
         self.new_stages = lambda: Stages(
             rollout, size, len(fleet.zone), 4, mine.lease, mine.known_for, mine.quorum, mine.supersede
         )
-        self.drain_grace, self.max_queued, self.link_timeout = (
-            fleet.rollout.drain,
-            mine.link_queue,
-            mine.lost_after,
-        )
-        self.tally_period, self.history_size = fleet.rollout.tally_period, mine.history
-        self.listen, self.max_links, self.leader_lease = (
-            mine.listen,
-            mine.most_links,
-            LeaderLease(mine.name, mine.patience),
-        )
-        self.on_decision, self.blocked_proxies, self.store = lambda what, facts: None, set(), None
-        self.calendar, self.senders, self.trail, self.webhook_timeout = None, [], None, WEBHOOK_TIMEOUT_MS
-        self.event_queue, self.done, self.leading, self.closing = (
-            host.Mailbox(65536),
-            host.Once(),
-            False,
-            False,
-        )
+        self.drain_grace = fleet.rollout.drain
+        self.max_queued = mine.link_queue
+        self.link_timeout = mine.lost_after
+        self.tally_period = fleet.rollout.tally_period
+        self.history_size = mine.history
+        self.listen = mine.listen
+        self.max_links = mine.most_links
+        self.leader_lease = LeaderLease(mine.name, mine.patience)
+        self.on_decision = lambda what, facts: None
+        self.blocked_proxies = set()
+        self.store = None
+        self.calendar = None
+        self.senders = []
+        self.trail = None
+        self.webhook_timeout = WEBHOOK_TIMEOUT_MS
+        self.event_queue = host.Mailbox(65536)
+        self.done = host.Once()
+        self.leading = False
+        self.closing = False
         # A round waits for the store's disk. Whatever else changes the stages must not interrupt it.
         self.round_lock = host.Turnstile()
         # For refusals: closing at once could discard an answer that the peer has not read yet.
@@ -92,13 +92,29 @@
         this controller knew."""
         # Revisions start again from 0, so the epoch must be new: under an earlier epoch a proxy whose
         # revision happens to agree would mistake its old list for the present one.
-        self.epoch, self.stages = int(host.wall() * 1000), self.new_stages()
-        self.links, self.machine_link, self.machine_backlog, self.reported_at = {}, None, [], {}
-        self.nodes, self.slot_of, self.revision, self.history, self.tally_rows = {}, {}, 0, [], {}
-        self.moves, self.pending, self.dirty, self.in_round = [], [], False, False
-        self.writing, self.list_pending = False, False
-        self.nodes_known, self.new_peers = True, {}
-        self.taken_orders, self.order_answers, self.outgoing, self.active_freeze = set(), [], [], None
+        self.epoch = int(host.wall() * 1000)
+        self.stages = self.new_stages()
+        self.links = {}
+        self.machine_link = None
+        self.machine_backlog = []
+        self.reported_at = {}
+        self.nodes = {}
+        self.slot_of = {}
+        self.revision = 0
+        self.history = []
+        self.tally_rows = {}
+        self.moves = []
+        self.pending = []
+        self.dirty = False
+        self.in_round = False
+        self.writing = False
+        self.list_pending = False
+        self.nodes_known = True
+        self.new_peers = {}
+        self.taken_orders = set()
+        self.order_answers = []
+        self.outgoing = []
+        self.active_freeze = None
         self.event_queue.drain()
 
     # ---- leader election ----
@@ -391,7 +407,9 @@
                 sender.wake()
         self.taken_orders -= {number for number, *_ in self.order_answers}
         self.moves, self.dirty, pending, self.pending = [], False, self.pending, []
-        self.order_answers, self.outgoing, self.list_pending = [], [], False
+        self.order_answers = []
+        self.outgoing = []
+        self.list_pending = False
         for link, *what in pending:
             link.put(*what)
 
@@ -546,11 +564,9 @@
             del self.slot_of[node_id]
             replaced.state = c.GONE
             self.publish_changes([replaced])
-        self.nodes[node.id], self.slot_of[node.id], self.reported_at[node.id] = (
-            self.copy_node(node),
-            report.slot,
-            host.now(),
-        )
+        self.nodes[node.id] = self.copy_node(node)
+        self.slot_of[node.id] = report.slot
+        self.reported_at[node.id] = host.now()
         self.publish_changes([node])
         self.event("node", report.slot, node.state == c.READY)
 
--- a/gannetfront/release/webhooks.py
+++ b/gannetfront/release/webhooks.py
@@ -30,7 +30,10 @@
     `first` to `last`."""
 
     def __init__(self, name, secrets, first=2, last=65535):
-        self.name, self.secrets, self.first, self.last = name, list(secrets), first, last
+        self.name = name
+        self.secrets = list(secrets)
+        self.first = first
+        self.last = last
 
 
 def parse_secret(text):
@@ -69,15 +72,11 @@
     `tolerance` the permitted deviation of the delivery's timestamp, both in seconds. Raises Refused."""
     if len(body) > MAX_BODY_BYTES:
         raise Refused(413, f"past {MAX_BODY_BYTES} bytes")
-    standard_signature, hub_signature = (
-        header_text(headers, b"webhook-signature"),
-        header_text(headers, b"x-hub-signature-256"),
-    )
+    standard_signature = header_text(headers, b"webhook-signature")
+    hub_signature = header_text(headers, b"x-hub-signature-256")
     if standard_signature is not None:
-        delivery_id, timestamp = (
-            header_text(headers, b"webhook-id") or "",
-            header_text(headers, b"webhook-timestamp") or "",
-        )
+        delivery_id = header_text(headers, b"webhook-id") or ""
+        timestamp = header_text(headers, b"webhook-timestamp") or ""
         if not timestamp.isdigit() or len(timestamp) > 12:
             raise Refused(400, "webhook-timestamp is no time")
         digests = []
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -200,10 +200,8 @@
 
     def step(self, *events, step=50.0):
         log_length = len(self.driver.fleet.logged)
-        stages, before = (
-            self.driver.stages,
-            (self.driver.stages.version, self.driver.stages.phase, self.driver.stages.stage),
-        )
+        stages = self.driver.stages
+        before = (self.driver.stages.version, self.driver.stages.phase, self.driver.stages.stage)
         has_back_vote = (
             stages.version > 1
             and stages.phase in (TRIAL, RELEASED)
