--- a/bench/release.py
+++ b/bench/release.py
@@ -126,7 +126,7 @@
 
     class Heard:
         def __init__(self, role):
-            self.role, self.id, self.heard, self.stream = role, "0", 0.0, None
+            self.role, self.id, self.heard_event_at, self.stream = role, "0", 0.0, None
 
         def put(self, due, data, note=None):
             message = frames.FrameReader().feed(data)[0][1]
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -35,7 +35,7 @@
         self.id = None
         self.role = None
         self.capacity = capacity
-        self.heard = -1e18
+        self.heard_event_at = -1e18  # when this link last caused a "heard" event, ms
 
     def put(self, due, data, message=None):
         """Queues `data` to be sent at `due` (ms); `message` is recorded when it is sent. If the queue is
@@ -196,6 +196,7 @@
             self.trail.close()
 
     def release_leadership(self):
+        """Runs a last round, gives up the lease and closes the store."""
         try:
             if self.leading:
                 self.round(self.event_queue.drain())
@@ -382,6 +383,7 @@
             self.run_round(events)
 
     def run_round(self, events):
+        """The round itself, under `round_lock`."""
         epoch, self.in_round = self.epoch, True
         self.stages.round(host.now(), events, self)
         self.in_round = False
@@ -437,6 +439,7 @@
     # ---- the writer of Stages ----
 
     def place(self, slot, version, zone, cell, warm):
+        """Orders the machines to start a node."""
         self.send_to_machines(
             frames.pack(
                 place=c.Place(slot=slot, build=version, zone=zone, cell=cell, warm=warm, epoch=self.epoch)
@@ -444,6 +447,7 @@
         )
 
     def remove(self, slot):
+        """Notifies the proxies that the node in `slot` drains, and orders the machines to end it afterwards."""
         node_id = next((n for n, s in self.slot_of.items() if s == slot), None)
         if node_id in self.nodes:
             self.nodes[node_id].state = c.DRAINING
@@ -464,19 +468,24 @@
             self.machine_backlog.append(data)
 
     def stage(self):
+        """Sends the present stage to all proxies."""
         for link in list(self.links.values()):
             self.send_stage(link)
 
     def answer(self, proxy, number, status):
+        """Answers a proxy's vote; skipped if the proxy is not connected."""
         self.dirty = True
         if proxy in self.links:
             self.send_stage(self.links[proxy], number, WIRE_STATUS[status])
 
     def ordered(self, number, accepted, text):
+        """Answers an operator's order by way of the store."""
         self.dirty = True
         self.order_answers.append((number, accepted, text))
 
     def log(self, what, facts):
+        """Logs a decision and, with a store, adds it to the moves; a change of stage is also sent to the
+        receivers of webhooks."""
         if self.store:
             self.moves.append((what, facts))
             if what == "stage":
@@ -591,8 +600,8 @@
                     if link.role is None and name != "hello":
                         raise frames.BadFrame(f"message '{name}' before the hello")
                     getattr(self, "from_" + name, lambda *x: None)(link, message)
-                if link.role == c.PROXY and host.now() - link.heard > HEARD_INTERVAL_MS:
-                    link.heard = host.now()
+                if link.role == c.PROXY and host.now() - link.heard_event_at > HEARD_INTERVAL_MS:
+                    link.heard_event_at = host.now()
                     self.event("heard", link.id)
         except frames.BadFrame as error:
             self.logger.error("link sent garbage", id=link.id, why=str(error))
@@ -634,6 +643,8 @@
     # Each `from_` method handles one type of message; it is found by the message's name.
 
     def from_hello(self, link, message):
+        """Registers a link. The machines get what was kept for them and all slots again; a proxy gets the
+        nodes, the stage and the addresses of the other proxies."""
         link.role, link.id = message.role, message.id
         if message.role == c.MACHINES:
             self.machine_link = link
@@ -678,6 +689,7 @@
         )
 
     def from_vote(self, link, message):
+        """Queues a proxy's vote; its figures are cut to 400 characters."""
         self.event(
             "vote",
             link.id,
@@ -689,6 +701,7 @@
         )
 
     def from_report(self, link, message):
+        """Takes a report of the machines; after the last one of a full report the list is sent to all."""
         if link.role != c.MACHINES:
             return
         if message.HasField("node"):
@@ -699,9 +712,11 @@
                 self.send_nodes(proxy_link)
 
     def from_ask(self, link, message):
+        """A proxy asks for the whole list."""
         self.send_nodes(link)
 
     def from_counts(self, link, message):
+        """Adds a proxy's counts to the sums of the present tally period."""
         for row in message.rows:
             sums = self.tally_rows.setdefault((row.ver, row.operation), [0, 0, 0.0])
             for n, value in enumerate((row.dispatches, row.bad, row.taken)):
