--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -447,7 +447,8 @@
         )
 
     def remove(self, slot):
-        """Notifies the proxies that the node in `slot` drains, and orders the machines to end it afterwards."""
+        """Notifies the proxies that the node in `slot` is draining, and orders the machines to end it after the
+        drain grace."""
         node_id = next((n for n, s in self.slot_of.items() if s == slot), None)
         if node_id in self.nodes:
             self.nodes[node_id].state = c.DRAINING
@@ -701,7 +702,8 @@
         )
 
     def from_report(self, link, message):
-        """Takes a report of the machines; after the last one of a full report the list is sent to all."""
+        """Applies a report of the machines. After a restart, once they have reported all nodes, the list is
+        sent to all proxies."""
         if link.role != c.MACHINES:
             return
         if message.HasField("node"):
