--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -19,9 +19,9 @@
 
 WIRE_STATUS = {SUCCEEDED: c.OK, MOOT: c.MOOT, FULL: c.FULL}
 ROUND_INTERVAL_MS = 25.0  # longest time between two rounds
-# How often a sign of life from a proxy becomes an event, how often new proxies are announced, and within
-# what time a webhook must have arrived completely.
-HEARD_INTERVAL_MS, PEERS_INTERVAL_MS, WEBHOOK_TIMEOUT_MS = 1000.0, 100.0, 10000.0
+HEARD_INTERVAL_MS = 1000.0  # shortest time between two events about signs of life of one proxy
+PEERS_INTERVAL_MS = 100.0  # time between two announcements of new proxies
+WEBHOOK_TIMEOUT_MS = 10000.0  # within which a webhook must have arrived completely
 SHUTDOWN_TIMEOUT_MS = 3000.0  # how long the shutdown waits for the store's disk
 
 
@@ -30,14 +30,12 @@
 
     def __init__(self, stream, capacity):
         """`capacity` is the greatest number of queued messages."""
-        self.stream, self.queue, self.id, self.role, self.capacity = (
-            stream,
-            host.Mailbox(capacity),
-            None,
-            None,
-            capacity,
-        )
-        self.heard = -1e18
+        self.stream = stream
+        self.queue = host.Mailbox(capacity)
+        self.id = None
+        self.role = None
+        self.capacity = capacity
+        self.heard_event_at = -1e18  # when this link last caused a "heard" event, ms
 
     def put(self, due, data, message=None):
         """Queues `data` to be sent at `due` (ms); `message` is recorded when it is sent. If the queue is
@@ -57,30 +55,32 @@
         """`fleet` and `mine` are the settings of the fleet and of this controller, `rollout` an
         interface.Rollout, `size` the number of nodes at rest. A script may delay news by `news_delay()` ms.
         `on_sent(at, proxy, message)` is called as each list or stage is sent to a proxy."""
-        self.logger, self.news_delay, self.on_sent = log, news_delay, on_sent or (lambda *x: None)
+        self.logger = log
+        self.news_delay = news_delay
+        self.on_sent = on_sent or (lambda *x: None)
         rollout.__dict__["vote_allowance"] = fleet.rollout.vote_allowance
         self.new_stages = lambda: Stages(
             rollout, size, len(fleet.zone), 4, mine.lease, mine.known_for, mine.quorum, mine.supersede
         )
-        self.drain_grace, self.max_queued, self.link_timeout = (
-            fleet.rollout.drain,
-            mine.link_queue,
-            mine.lost_after,
-        )
-        self.tally_period, self.history_size = fleet.rollout.tally_period, mine.history
-        self.listen, self.max_links, self.leader_lease = (
-            mine.listen,
-            mine.most_links,
-            LeaderLease(mine.name, mine.patience),
-        )
-        self.on_decision, self.blocked_proxies, self.store = lambda what, facts: None, set(), None
-        self.calendar, self.senders, self.trail, self.webhook_timeout = None, [], None, WEBHOOK_TIMEOUT_MS
-        self.event_queue, self.done, self.leading, self.closing = (
-            host.Mailbox(65536),
-            host.Once(),
-            False,
-            False,
-        )
+        self.drain_grace = fleet.rollout.drain
+        self.max_queued = mine.link_queue
+        self.link_timeout = mine.lost_after
+        self.tally_period = fleet.rollout.tally_period
+        self.history_size = mine.history
+        self.listen = mine.listen
+        self.max_links = mine.most_links
+        self.leader_lease = LeaderLease(mine.name, mine.patience)
+        self.on_decision = lambda what, facts: None
+        self.blocked_proxies = set()
+        self.store = None
+        self.calendar = None
+        self.senders = []
+        self.trail = None
+        self.webhook_timeout = WEBHOOK_TIMEOUT_MS
+        self.event_queue = host.Mailbox(65536)
+        self.done = host.Once()
+        self.leading = False
+        self.closing = False
         # A round waits for the store's disk. Whatever else changes the stages must not interrupt it.
         self.round_lock = host.Turnstile()
         # For refusals: closing at once could discard an answer that the peer has not read yet.
@@ -92,13 +92,29 @@
         this controller knew."""
         # Revisions start again from 0, so the epoch must be new: under an earlier epoch a proxy whose
         # revision happens to agree would mistake its old list for the present one.
-        self.epoch, self.stages = int(host.wall() * 1000), self.new_stages()
-        self.links, self.machine_link, self.machine_backlog, self.reported_at = {}, None, [], {}
-        self.nodes, self.slot_of, self.revision, self.history, self.tally_rows = {}, {}, 0, [], {}
-        self.moves, self.pending, self.dirty, self.in_round = [], [], False, False
-        self.writing, self.list_pending = False, False
-        self.nodes_known, self.new_peers = True, {}
-        self.taken_orders, self.order_answers, self.outgoing, self.active_freeze = set(), [], [], None
+        self.epoch = int(host.wall() * 1000)
+        self.stages = self.new_stages()
+        self.links = {}
+        self.machine_link = None
+        self.machine_backlog = []
+        self.reported_at = {}
+        self.nodes = {}
+        self.slot_of = {}
+        self.revision = 0
+        self.history = []
+        self.tally_rows = {}
+        self.moves = []
+        self.pending = []
+        self.dirty = False
+        self.in_round = False
+        self.writing = False
+        self.list_pending = False
+        self.nodes_known = True
+        self.new_peers = {}
+        self.taken_orders = set()
+        self.order_answers = []
+        self.outgoing = []
+        self.active_freeze = None
         self.event_queue.drain()
 
     # ---- leader election ----
@@ -180,6 +196,7 @@
             self.trail.close()
 
     def release_leadership(self):
+        """Runs a last round, gives up the lease and closes the store."""
         try:
             if self.leading:
                 self.round(self.event_queue.drain())
@@ -366,6 +383,7 @@
             self.run_round(events)
 
     def run_round(self, events):
+        """The round itself, under `round_lock`."""
         epoch, self.in_round = self.epoch, True
         self.stages.round(host.now(), events, self)
         self.in_round = False
@@ -391,7 +409,9 @@
                 sender.wake()
         self.taken_orders -= {number for number, *_ in self.order_answers}
         self.moves, self.dirty, pending, self.pending = [], False, self.pending, []
-        self.order_answers, self.outgoing, self.list_pending = [], [], False
+        self.order_answers = []
+        self.outgoing = []
+        self.list_pending = False
         for link, *what in pending:
             link.put(*what)
 
@@ -419,6 +439,7 @@
     # ---- the writer of Stages ----
 
     def place(self, slot, version, zone, cell, warm):
+        """Orders the machines to start a node."""
         self.send_to_machines(
             frames.pack(
                 place=c.Place(slot=slot, build=version, zone=zone, cell=cell, warm=warm, epoch=self.epoch)
@@ -426,6 +447,8 @@
         )
 
     def remove(self, slot):
+        """Notifies the proxies that the node in `slot` is draining, and orders the machines to end it after the
+        drain grace."""
         node_id = next((n for n, s in self.slot_of.items() if s == slot), None)
         if node_id in self.nodes:
             self.nodes[node_id].state = c.DRAINING
@@ -446,19 +469,24 @@
             self.machine_backlog.append(data)
 
     def stage(self):
+        """Sends the present stage to all proxies."""
         for link in list(self.links.values()):
             self.send_stage(link)
 
     def answer(self, proxy, number, status):
+        """Answers a proxy's vote; skipped if the proxy is not connected."""
         self.dirty = True
         if proxy in self.links:
             self.send_stage(self.links[proxy], number, WIRE_STATUS[status])
 
     def ordered(self, number, accepted, text):
+        """Answers an operator's order by way of the store."""
         self.dirty = True
         self.order_answers.append((number, accepted, text))
 
     def log(self, what, facts):
+        """Logs a decision and, with a store, adds it to the moves; a change of stage is also sent to the
+        receivers of webhooks."""
         if self.store:
             self.moves.append((what, facts))
             if what == "stage":
@@ -546,11 +574,9 @@
             del self.slot_of[node_id]
             replaced.state = c.GONE
             self.publish_changes([replaced])
-        self.nodes[node.id], self.slot_of[node.id], self.reported_at[node.id] = (
-            self.copy_node(node),
-            report.slot,
-            host.now(),
-        )
+        self.nodes[node.id] = self.copy_node(node)
+        self.slot_of[node.id] = report.slot
+        self.reported_at[node.id] = host.now()
         self.publish_changes([node])
         self.event("node", report.slot, node.state == c.READY)
 
@@ -575,8 +601,8 @@
                     if link.role is None and name != "hello":
                         raise frames.BadFrame(f"message '{name}' before the hello")
                     getattr(self, "from_" + name, lambda *x: None)(link, message)
-                if link.role == c.PROXY and host.now() - link.heard > HEARD_INTERVAL_MS:
-                    link.heard = host.now()
+                if link.role == c.PROXY and host.now() - link.heard_event_at > HEARD_INTERVAL_MS:
+                    link.heard_event_at = host.now()
                     self.event("heard", link.id)
         except frames.BadFrame as error:
             self.logger.error("link sent garbage", id=link.id, why=str(error))
@@ -618,6 +644,8 @@
     # Each `from_` method handles one type of message; it is found by the message's name.
 
     def from_hello(self, link, message):
+        """Registers a link. The machines get what was kept for them and all slots again; a proxy gets the
+        nodes, the stage and the addresses of the other proxies."""
         link.role, link.id = message.role, message.id
         if message.role == c.MACHINES:
             self.machine_link = link
@@ -662,6 +690,7 @@
         )
 
     def from_vote(self, link, message):
+        """Queues a proxy's vote; its figures are cut to 400 characters."""
         self.event(
             "vote",
             link.id,
@@ -673,6 +702,8 @@
         )
 
     def from_report(self, link, message):
+        """Applies a report of the machines. After a restart, once they have reported all nodes, the list is
+        sent to all proxies."""
         if link.role != c.MACHINES:
             return
         if message.HasField("node"):
@@ -683,9 +714,11 @@
                 self.send_nodes(proxy_link)
 
     def from_ask(self, link, message):
+        """A proxy asks for the whole list."""
         self.send_nodes(link)
 
     def from_counts(self, link, message):
+        """Adds a proxy's counts to the sums of the present tally period."""
         for row in message.rows:
             sums = self.tally_rows.setdefault((row.ver, row.operation), [0, 0, 0.0])
             for n, value in enumerate((row.dispatches, row.bad, row.taken)):
