--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -4,7 +4,7 @@
 from ..balance import Balancer, come_back
 from ..interface import SUCCEEDED
 from ..proxy.pools import Pools
-from ..proxy.rounds import Rounds
+from ..proxy.rounds import RoundLoop
 from ..proxy.signals import Signals
 from ..wire import BadAnswer, pg
 from . import config
@@ -25,7 +25,7 @@
         self.pools = Pools(
             self.budget.nodes_most, start.pool_idle, start.connect_limit, self.connect, self.room
         )
-        self.rounds = Rounds(
+        self.rounds = RoundLoop(
             lambda: Balancer(start.seed, start.facts),
             0.0,
             start.most_held,
@@ -41,19 +41,24 @@
         self.discovery = Discovery(
             start.discovery,
             start.listing,
-            lambda *told: self.rounds.tell("listed", *told),
+            lambda *told: self.rounds.put_event("listed", *told),
             self.pools,
             jitter,
             log,
         )
         self.api = ReleaseApi(
-            start.release_api, start.by_name, start.facts.rollout.answer_wait, self.rounds.tell, jitter, log
+            start.release_api,
+            start.by_name,
+            start.facts.rollout.answer_wait,
+            self.rounds.put_event,
+            jitter,
+            log,
         )
         self.rounds.link = self.api
         self.clients = Clients(self.rounds, start.operations, start.limits, self.budget, log)
         self.signals, self.done, self.drains, self.listen = None, host.Once(), False, start.listen
         if start.facts.may_signal and start.peer_listen:
-            self.signals = Signals(start.me, start.peer_listen, self.rounds.tell, bare=True)
+            self.signals = Signals(start.me, start.peer_listen, self.rounds.put_event, bare=True)
             self.signals.set_peers(start.peers)
             self.rounds.signals = self.signals
         self.discovery.take(*start.known, "kept")
@@ -89,7 +94,9 @@
         return self.pools.size() < self.budget.nodes_most or self.pools.close_oldest_idle()
 
     def refill(self):
-        self.rounds.tell("listed", "whole", tuple(entry for entry, _, _ in self.discovery.entries.values()))
+        self.rounds.put_event(
+            "listed", "whole", tuple(entry for entry, _, _ in self.discovery.entries.values())
+        )
         self.api.state(False, SUCCEEDED)
 
     # ---- life ----
--- a/gannetfront/proxy/kept.py
+++ b/gannetfront/proxy/kept.py
@@ -15,7 +15,7 @@
 MAGIC = b"gannet-nodes-1\n"
 
 
-class KeptList:
+class PersistedNodeList:
     """The node list of the newest message, by revision and epoch.
 
     `nodes` maps a node's address to (entry, incarnation). An entry is the tuple that the balancer gets:
@@ -51,7 +51,7 @@
             known[1],
         )
 
-    def take(self, message, now):
+    def apply(self, message, now):
         """Applies a list message; returns ("whole" or "changes", entries).
 
         Returns None if an earlier change was missed: then the whole list must be requested."""
@@ -102,5 +102,5 @@
         digest, body = data[len(MAGIC) : len(MAGIC) + 8], data[len(MAGIC) + 8 :]
         if xxhash.xxh64(body).digest() != digest:
             return False
-        self.take(NodeList.FromString(body), now)
+        self.apply(NodeList.FromString(body), now)
         return True
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -11,11 +11,11 @@
 from ..trail.log import Trail
 from ..wire import control_pb2 as c, http, invocation
 from .clients import Clients
-from .kept import KeptList
+from .kept import PersistedNodeList
 from .links import ControlLink
 from .members import Membership
 from .pools import Pools
-from .rounds import Rounds
+from .rounds import RoundLoop
 from .signals import Signals
 from .sites import AtProxy
 from .tenants import Listed, Tenants
@@ -26,10 +26,10 @@
         """`fleet` and `mine` are checked messages of the schema (Fleet, Proxy); `acts` is a Table for what duties had done here."""
         facts = load.deployment(fleet, mine.me, mine.zone, mine.wire_lag)
         self.log, self.stop_limit = log, mine.stop_limit
-        self.kept, self.stage, self.began = KeptList(), None, host.now()
+        self.kept, self.stage, self.began = PersistedNodeList(), None, host.now()
         self.file = KeptFile(mine.state_file, lambda: self.kept.pack(host.now()), "list", log)
         self.pools = Pools(mine.pool_cap, mine.pool_idle, mine.connect_limit)
-        self.rounds = Rounds(
+        self.rounds = RoundLoop(
             lambda: Balancer(mine.seed, facts),
             mine.tick,
             mine.most_held,
@@ -55,7 +55,7 @@
             Tenants(
                 mine,
                 facts,
-                self.rounds.tell,
+                self.rounds.put_event,
                 log,
                 host.chance(mine.seed, 4),
                 at,
@@ -75,7 +75,7 @@
             self.inside,
             log,
         )
-        self.signals = Signals(mine.me, mine.signal_listen, self.rounds.tell)
+        self.signals = Signals(mine.me, mine.signal_listen, self.rounds.put_event)
         self.link = ControlLink(
             mine.me,
             mine.control,
@@ -111,25 +111,27 @@
     def told(self, name, *fields):
         if name == "stage_told" and not fields[0]:
             self.stage = fields
-        self.rounds.tell(name, *fields)
+        self.rounds.put_event(name, *fields)
 
     def on_list(self, message):
         if message.failed:
-            self.rounds.tell("listed", "failed", ())
+            self.rounds.put_event("listed", "failed", ())
             return
-        took = self.kept.take(message, host.now())
+        took = self.kept.apply(message, host.now())
         if took is None:
             self.log.warning("list change missed", held=self.kept.revision, told=message.revision)
             self.link.ask_whole()
             return
         self.file.changed()
         self.log.info("list", kind=took[0], revision=message.revision, nodes=len(self.kept.nodes))
-        self.rounds.tell("listed", took[0], self.seen(took[1]))
+        self.rounds.put_event("listed", took[0], self.seen(took[1]))
 
     def refill(self):
-        self.rounds.tell("listed", "whole", self.seen(tuple(entry for entry, _ in self.kept.nodes.values())))
+        self.rounds.put_event(
+            "listed", "whole", self.seen(tuple(entry for entry, _ in self.kept.nodes.values()))
+        )
         if self.stage:
-            self.rounds.tell("stage_told", *self.stage)
+            self.rounds.put_event("stage_told", *self.stage)
         self.tenants.refill()
 
     def seen(self, entries):
@@ -141,7 +143,7 @@
         known = self.kept.unpack(data, host.now())
         if data and not known:
             self.log.warning("kept list unreadable", file=self.file.path)
-        self.rounds.tell("listed", "kept", tuple(entry for entry, _ in self.kept.nodes.values()))
+        self.rounds.put_event("listed", "kept", tuple(entry for entry, _ in self.kept.nodes.values()))
 
     def sweep(self):
         while True:
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -32,7 +32,7 @@
         self.gone = lambda: False  # replaced by the client's connection, whoever has read from it
 
 
-class Rounds:
+class RoundLoop:
     """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets.
 
     `decision_time` is the time spent in rounds so far, in ms. The functions `refusal_for`,
@@ -65,7 +65,7 @@
     balancer = property(lambda self: self.carrier.balancer)
     answer_counts = property(lambda self: self.carrier.answer_counts)
 
-    def tell(self, *event):
+    def put_event(self, *event):
         """Puts an event for the balancer into the mailbox, from another greenlet. Waits while it is full."""
         while not self.mailbox.put(event):
             host.sleep(1)
@@ -224,8 +224,8 @@
     def vote(self, stage, ver, verdict):
         """Casts a vote, unless it is withheld."""
         if self.withholds_vote(verdict, ver):
-            # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait
-            # for ever here, as this greenlet is the one that empties the mailbox.
+            # Reported as not delivered, so that it is cast again soon. Appended directly: `put_event` could
+            # wait for ever here, as this greenlet is the one that empties the mailbox.
             self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
             self.wake()
             return
--- a/gannetfront/proxy/signals.py
+++ b/gannetfront/proxy/signals.py
@@ -11,9 +11,9 @@
     A datagram is two bytes with the sender's number, then the payload. With `bare` it is the payload alone,
     and the sender is known by its address only."""
 
-    def __init__(self, number, listen_address, tell, bare=False):
-        """`number` is this proxy's; `tell("peer", number, payload)` is called for each signal received."""
-        self.number, self.tell, self.peers, self.numbers, self.bare = number, tell, {}, {}, bare
+    def __init__(self, number, listen_address, put_event, bare=False):
+        """`number` is this proxy's; `put_event("peer", number, payload)` is called for each signal."""
+        self.number, self.put_event, self.peers, self.numbers, self.bare = number, put_event, {}, {}, bare
         self.port = host.Datagrams(listen_address)
 
     def on_peers(self, message):
@@ -46,4 +46,4 @@
                 and header_size < len(data) <= header_size + MAX_PAYLOAD
                 and (self.bare or peer_number == int.from_bytes(data[:2], "big"))
             ):
-                self.tell("peer", peer_number, data[header_size:])
+                self.put_event("peer", peer_number, data[header_size:])
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -82,7 +82,7 @@
         if not moved:
             return
         self.log.warning("site weights", weights=self.shedding.weights, before=before, refused=self.shares())
-        self.rounds.tell("listed", "changes", self.entries_for_decisions(self.entries()))
+        self.rounds.put_event("listed", "changes", self.entries_for_decisions(self.entries()))
         for flight in list(self.rounds.flights.values()):
             # Nobody answers there: what may run again elsewhere goes there now, of the rest its client hears now.
             if self.monitor.zone_of(self.entry(flight.address)) in gone:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -420,7 +420,7 @@
     "none": ("proxy", "", None),
     "intents": (
         "proxy",
-        "from gannetfront.proxy.rounds import Rounds as R\n"
+        "from gannetfront.proxy.rounds import RoundLoop as R\n"
         "R.run_recorded = lambda self, held, seq, flight, pool: flight.run(pool)",
         "trails",
     ),
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -70,7 +70,7 @@
 
 
 def told_stage(one, ver, phase, cap, stage=0):
-    one.proxy.rounds.tell("stage_told", False, stage, 0.0, cap, i.SUCCEEDED, ver, phase)
+    one.proxy.rounds.put_event("stage_told", False, stage, 0.0, cap, i.SUCCEEDED, ver, phase)
     one.until(lambda: one.proxy.rounds.balancer.phase == phase and one.proxy.rounds.balancer.cap == cap)
 
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -498,7 +498,7 @@
     stream = host.connect(rig.at, 1000)
     stream.send(codec.request(b"/debit", b"x", [], b""), 1000)
     rig.until(lambda: rig.nodes[0].seen)
-    rig.proxy.rounds.tell("no_such_event")
+    rig.proxy.rounds.put_event("no_such_event")
     assert rig.read(stream)[1] == "terminated" and rig.log.said("decisions failed")
     host.sleep(150)
     assert rig.ask()[1] == "succeeded"
