--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -24,13 +24,12 @@
     __slots__ = "invocation_id", "operation", "deadline", "next_seq", "answer", "context"
 
     def __init__(self, invocation_id, operation, deadline, context):
-        self.invocation_id, self.operation, self.deadline, self.context = (
-            invocation_id,
-            operation,
-            deadline,
-            context,
-        )
-        self.next_seq, self.answer = 0, None
+        self.invocation_id = invocation_id
+        self.operation = operation
+        self.deadline = deadline
+        self.context = context
+        self.next_seq = 0
+        self.answer = None
 
 
 class Carrier:
@@ -38,10 +37,16 @@
 
     def __init__(self, make_balancer, runner):
         """`make_balancer()` returns a fresh Balancer; `runner` provides the functions listed above."""
-        self.make_balancer, self.runner, self.balancer = make_balancer, runner, make_balancer()
-        self.held, self.timers, self.decisions, self.events = {}, [], [], []
-        # `generation` counts the restarts: outcomes of dispatches from before a restart are ignored.
-        self.last_id, self.generation, self.answer_counts = 0, 0, {}
+        self.make_balancer = make_balancer
+        self.runner = runner
+        self.balancer = make_balancer()
+        self.held = {}
+        self.timers = []
+        self.decisions = []
+        self.events = []
+        self.last_id = 0
+        self.generation = 0  # number of restarts: outcomes of dispatches from before one are ignored
+        self.answer_counts = {}
 
     # ---- input ----
 
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -9,11 +9,9 @@
 MAX_READ_AHEAD = (
     65536  # bytes kept beyond those, or behind a bad request, so that the client's close is still seen
 )
-MAX_LINGERING, LINGER_TIMEOUT_MS, LINGER_SIZE = (
-    64,
-    2000.0,
-    1 << 20,
-)  # connections, ms and bytes read after a last answer
+MAX_LINGERING = 64  # connections
+LINGER_TIMEOUT_MS = 2000.0
+LINGER_SIZE = 1 << 20  # bytes read after a last answer
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 STALE_TENANTS_RETRY_MS = 1000.0  # retry advice while the tenant list is too old
 WRITE_TIMEOUT_MS = 5000.0  # a client that doesn't read its answer for this long is disconnected
@@ -29,14 +27,18 @@
         as in tenancy.py. `limits` are the bytes of headers and body. `margins[operation]` is (time limit,
         margin) in ms. `read_limit` is the time for one request and `idle_limit` the time between requests, in
         ms. `internal_page(path, keep)` answers requests to the proxy itself."""
-        self.rounds, self.operations, self.admit, self.limits = rounds, operations, admit, limits
-        self.margins, self.read_limit, self.idle_limit, self.internal_page = (
-            margins,
-            read_limit,
-            idle_limit,
-            internal_page,
-        )
-        self.log, self.stopping, self.open, self.busy = log, False, set(), set()
+        self.rounds = rounds
+        self.operations = operations
+        self.admit = admit
+        self.limits = limits
+        self.margins = margins
+        self.read_limit = read_limit
+        self.idle_limit = idle_limit
+        self.internal_page = internal_page
+        self.log = log
+        self.stopping = False
+        self.open = set()
+        self.busy = set()
         self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT_MS, LINGER_SIZE)
 
     def handle(self, stream):
--- a/gannetfront/proxy/flights.py
+++ b/gannetfront/proxy/flights.py
@@ -29,14 +29,14 @@
         """`encode(time_left)` returns the request's bytes, with the ms that the node has left. `limit` is the
         time limit in ms and `reader` reads the answer. `still_wanted(waited)` tells whether the dispatch is
         still to be sent, where `waited` tells whether it had to wait for a disk or a connection."""
-        self.address, self.encode, self.limit, self.reader, self.still_wanted = (
-            address,
-            encode,
-            limit,
-            reader,
-            still_wanted,
-        )
-        self.stop, self.started_at, self.waited = host.Once(), host.now(), False
+        self.address = address
+        self.encode = encode
+        self.limit = limit
+        self.reader = reader
+        self.still_wanted = still_wanted
+        self.stop = host.Once()
+        self.started_at = host.now()
+        self.waited = False
 
     def exclude_wait(self):
         """Starts the clock again: the time until now was not spent at the node."""
@@ -81,11 +81,12 @@
 
     def exchange(self, stream, data):
         """Writes the request and reads its answer; returns (status, reader of a complete answer or None)."""
-        stream.sent, self.received_any, not_begun = (
-            0,
-            False,
-            lambda: stream.sent < (len(data) if self.reader.begins_whole else 1),
-        )
+        stream.sent = 0
+        self.received_any = False
+
+        def not_begun():
+            return stream.sent < (len(data) if self.reader.begins_whole else 1)
+
         try:
             if not stream.send_or(self.stop, data, max(1.0, self.time_left())):
                 stream.reset()
--- a/gannetfront/proxy/keeping.py
+++ b/gannetfront/proxy/keeping.py
@@ -23,25 +23,22 @@
     5120.0,
     10240.0,
 )
-SAMPLES_PER_CLASS, SAMPLE_TTL_MS = 24, 10000.0
+SAMPLES_PER_CLASS = 24
+SAMPLE_TTL_MS = 10000.0
 # A class is distrusted when its share of breaks exceeds that of new connections by the margin, and its number
 # of breaks reaches the minimum.
-BREAK_SHARE_MARGIN, MIN_BREAKS = (
-    0.1,
-    2,
-)
+BREAK_SHARE_MARGIN = 0.1
+MIN_BREAKS = 2
 
 
 class IdleTimeEstimator:
     """Estimates the idle time up to which connections are safe to reuse, from how requests on them ended."""
 
     def __init__(self):
-        self.new_samples, self.idle_samples, self.limit, self.next_estimate_at = (
-            deque(maxlen=4 * SAMPLES_PER_CLASS),
-            [deque(maxlen=SAMPLES_PER_CLASS) for _ in IDLE_BOUNDS_MS],
-            1e18,
-            0.0,
-        )
+        self.new_samples = deque(maxlen=4 * SAMPLES_PER_CLASS)
+        self.idle_samples = [deque(maxlen=SAMPLES_PER_CLASS) for _ in IDLE_BOUNDS_MS]
+        self.limit = 1e18
+        self.next_estimate_at = 0.0
 
     def record(self, now, idle_time, broke):
         """Records how a request ended on a connection that was idle for `idle_time` ms, or new (None).
--- a/gannetfront/proxy/kept.py
+++ b/gannetfront/proxy/kept.py
@@ -22,7 +22,10 @@
     (address, zone, build, kind, cell, state, weight, start time in ms or 0.0 where it is unknown)."""
 
     def __init__(self):
-        self.revision, self.epoch, self.nodes, self.started = 0, 0, {}, {}
+        self.revision = 0
+        self.epoch = 0
+        self.nodes = {}
+        self.started = {}  # address -> (incarnation, start time in ms)
 
     def entry(self, node, now):
         """Returns the entry of a listed node."""
--- a/gannetfront/proxy/pools.py
+++ b/gannetfront/proxy/pools.py
@@ -24,19 +24,16 @@
         """`connect(address, limit)` returns a stream that can carry a request, or raises host.Refused.
         `room()` tells whether one more descriptor may be opened. `idle_estimator` estimates the safe idle
         time and is shared by all pools."""
-        self.address, self.capacity, self.idle_limit, self.connect_limit = (
-            address,
-            capacity,
-            idle_limit,
-            connect_limit,
-        )
-        self.connect, self.room, self.retired, self.idle_estimator = (
-            connect,
-            room,
-            False,
-            idle_estimator or IdleTimeEstimator(),
-        )
-        self.in_use, self.idle = 0, []  # idle: (since, stream), oldest first
+        self.address = address
+        self.capacity = capacity
+        self.idle_limit = idle_limit
+        self.connect_limit = connect_limit
+        self.connect = connect
+        self.room = room
+        self.retired = False
+        self.idle_estimator = idle_estimator or IdleTimeEstimator()
+        self.in_use = 0
+        self.idle = []  # (since, stream), oldest first
 
     def acquire(self, limit):
         """Returns (stream, whether it is new). Raises host.Refused, which means that nothing was sent."""
@@ -87,11 +84,9 @@
 
     def __init__(self, capacity, idle_limit, connect_limit, *connection_hooks):
         """The arguments are those of Pool; `connection_hooks` are its optional `connect` and `room`."""
-        self.pool_arguments, self.by_address, self.idle_limit = (
-            (capacity, idle_limit, connect_limit, *connection_hooks),
-            {},
-            idle_limit,
-        )
+        self.pool_arguments = (capacity, idle_limit, connect_limit, *connection_hooks)
+        self.by_address = {}
+        self.idle_limit = idle_limit
         self.idle_estimator = IdleTimeEstimator()
 
     def pool_for(self, address):
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -22,13 +22,11 @@
     __slots__ = "content", "name", "done", "begun", "tenant", "gone"
 
     def __init__(self, content, name, tenant):
-        self.content, self.name, self.tenant, self.done, self.begun = (
-            content,
-            name,
-            tenant,
-            host.Once(),
-            host.now(),
-        )
+        self.content = content
+        self.name = name
+        self.tenant = tenant
+        self.done = host.Once()
+        self.begun = host.now()
         self.gone = lambda: False  # replaced by the client's connection, whoever has read from it
 
 
@@ -44,22 +42,36 @@
         the least time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
         proxy's. `codec` is the protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit)
         and Reply(limit), a reader of answers."""
-        self.tick, self.max_held, self.answer_limit, self.codec = tick, max_held, answer_limit, codec
-        self.pools, self.logger, self.name = pools, log, b"proxy/%d" % number
-        self.mailbox, self.flights, self.last_round = host.Mailbox(4 * max_held + 4096), {}, -1e9
-        self.link, self.signals, self.last_line, self.refusal_reason = None, None, "", b""
-        self.retry_after, self.refusal_for = (
-            0.0,
-            lambda operation: None,
-        )  # refusal_for: (reason, ms) for an invocation that is refused now
-        self.status_for_balancer, self.withholds_vote = (
-            lambda address, status: status,
-            lambda verdict, ver: False,
-        )  # the status as the balancer gets it, and whether a vote is withheld
-        self.carrier, self.decision_time, self.round_count = Carrier(make_balancer, self), 0.0, 0
-        self.on_outcome, self.trail, self.needs_trail = lambda *fields: None, None, ()
-        self.watch, self.slo_times, self.retry_advice = Watch(host.now()), (), lambda operation: 0.0
-        self.close_idle, self.on_restart, self.build_of = pools.close_idle, lambda: None, lambda address: 0
+        self.tick = tick
+        self.max_held = max_held
+        self.answer_limit = answer_limit
+        self.codec = codec
+        self.pools = pools
+        self.logger = log
+        self.name = b"proxy/%d" % number
+        self.mailbox = host.Mailbox(4 * max_held + 4096)
+        self.flights = {}
+        self.last_round = -1e9
+        self.link = None
+        self.signals = None
+        self.last_line = ""
+        self.refusal_reason = b""
+        self.retry_after = 0.0
+        self.refusal_for = lambda operation: None  # (reason, ms) for an invocation that is refused now
+        self.status_for_balancer = lambda address, status: status
+        self.withholds_vote = lambda verdict, ver: False
+        self.carrier = Carrier(make_balancer, self)
+        self.decision_time = 0.0
+        self.round_count = 0
+        self.on_outcome = lambda *fields: None
+        self.trail = None
+        self.needs_trail = ()  # by operation
+        self.watch = Watch(host.now())
+        self.slo_times = ()
+        self.retry_advice = lambda operation: 0.0
+        self.close_idle = pools.close_idle
+        self.on_restart = lambda: None
+        self.build_of = lambda address: 0
 
     held = property(lambda self: self.carrier.held)
     balancer = property(lambda self: self.carrier.balancer)
@@ -75,9 +87,11 @@
 
         `generator` spreads the advice, so that clients do not return together."""
         self.slo_times = [o.slo_time for o in deployment.operations]
-        self.retry_advice = lambda operation: come_back(
-            deployment.retry_advice, self.slo_times[operation], generator.random()
-        )
+
+        def retry_advice(operation):
+            return come_back(deployment.retry_advice, self.slo_times[operation], generator.random())
+
+        self.retry_advice = retry_advice
 
     def wake(self):
         """Starts a round for events that were appended directly to the carrier's."""
--- a/gannetfront/proxy/signals.py
+++ b/gannetfront/proxy/signals.py
@@ -13,7 +13,11 @@
 
     def __init__(self, number, listen_address, put_event, bare=False):
         """`number` is this proxy's; `put_event("peer", number, payload)` is called for each signal."""
-        self.number, self.put_event, self.peers, self.numbers, self.bare = number, put_event, {}, {}, bare
+        self.number = number
+        self.put_event = put_event
+        self.peers = {}
+        self.numbers = {}
+        self.bare = bare
         self.port = host.Datagrams(listen_address)
 
     def on_peers(self, message):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -37,7 +37,10 @@
     "close", "silent" (no answer), or a list of these. `seen` holds the requests received."""
 
     def __init__(self, *acts, at="127.0.0.1:0"):
-        self.acts, self.seen, self.streams, self.ended = list(acts or [ok()]), [], [], 0
+        self.acts = list(acts or [ok()])
+        self.seen = []
+        self.streams = []
+        self.ended = 0
         self.listener = host.Listener(at)
         self.at = self.listener.where
         host.spawn(host.serve, self.listener, self.handle, Log())
@@ -96,13 +99,11 @@
     """A proxy and its controller. The nodes are listed if `listed`; `settings` are the proxy's."""
 
     def __init__(self, tmp_path, *nodes, fleet=FLEET, listed=True, **settings):
-        self.log, self.nodes, self.path, self.fleet, self.settings = (
-            Log(),
-            list(nodes),
-            tmp_path,
-            fleet,
-            settings,
-        )
+        self.log = Log()
+        self.nodes = list(nodes)
+        self.path = tmp_path
+        self.fleet = fleet
+        self.settings = settings
         self.facts = load.parse(schema.Fleet, fleet, "fleet")
         self.controller = Controller(
             self.facts, schema.Controller(), load.deployment(self.facts, 0, "", 1.0).rollout, 0, self.log
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -19,14 +19,13 @@
     """One balancer under random events. `in_flight` maps (invocation, seq) to (server, end of its limit)."""
 
     def __init__(self, seed, facts):
-        self.state, self.stage = seed, Stage(facts)
-        self.in_flight, self.open, self.ended, self.decisions_read, self.advice = (
-            {},
-            set(),
-            set(),
-            0,
-            facts["retry_advice"],
-        )
+        self.state = seed
+        self.stage = Stage(facts)
+        self.in_flight = {}
+        self.open = set()
+        self.ended = set()
+        self.decisions_read = 0
+        self.advice = facts["retry_advice"]
         self.given_up = 0
 
     def random(self, below):
