--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -228,7 +228,7 @@
         if held is None:
             every.turned_away["too much is open"] += 1
             return pg.throttled(every.rounds.retry_advice(op), "throttled: too much is open here") + pg.READY
-        held.context.gone = self.stream.ended
+        held.context.client_gone = self.stream.ended
         every.ids.add(ident)
         self.count += 1
         return held, ident
--- a/gannetfront/proxy/carrier.py
+++ b/gannetfront/proxy/carrier.py
@@ -145,8 +145,8 @@
         if held:
             self.finish(held, kind, *details)
 
-    def vote(self, stage, ver, verdict):
-        self.decisions.append((self.runner.vote, (stage, ver, verdict)))
+    def vote(self, stage, version, verdict):
+        self.decisions.append((self.runner.vote, (stage, version, verdict)))
 
     def signal(self, target, payload):
         self.decisions.append((self.runner.signal, (target, payload)))
--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -161,7 +161,7 @@
                 False,
                 None,
             )
-        held.context.gone = stream.ended
+        held.context.client_gone = stream.ended
         client_gone, later_bad_request = self.wait_for_answer(stream, reader, held, margin)
         if client_gone:
             return b"", False, True, None
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -16,18 +16,18 @@
 class Request:
     """What the dispatches of an invocation need of its client's request. Only the codec reads `content`.
 
-    `done` is set with the final answer, `begun` is the time of arrival in ms and `gone()` tells whether the
-    client has closed its connection."""
+    `done` is set with the final answer, `arrived_at` is the time of arrival in ms and `client_gone()` tells
+    whether the client has closed its connection."""
 
-    __slots__ = "content", "name", "done", "begun", "tenant", "gone"
+    __slots__ = "content", "name", "done", "arrived_at", "tenant", "client_gone"
 
     def __init__(self, content, name, tenant):
         self.content = content
         self.name = name
         self.tenant = tenant
         self.done = host.Once()
-        self.begun = host.now()
-        self.gone = lambda: False  # replaced by the client's connection, whoever has read from it
+        self.arrived_at = host.now()
+        self.client_gone = lambda: False  # replaced by the owner of the client's connection
 
 
 class RoundLoop:
@@ -59,7 +59,7 @@
         self.retry_after = 0.0
         self.refusal_for = lambda operation: None  # (reason, ms) for an invocation that is refused now
         self.status_for_balancer = lambda address, status: status
-        self.withholds_vote = lambda verdict, ver: False
+        self.withholds_vote = lambda verdict, version: False
         self.carrier = Carrier(make_balancer, self)
         self.decision_time = 0.0
         self.round_count = 0
@@ -104,6 +104,7 @@
         refusal = self.refusal_for(operation)
         if refusal:
             self.watch.answered("throttled", False, tenant, operation)
+        # The rest of the mailbox is kept for events that must not be lost.
         elif len(self.held) >= self.max_held or len(self.mailbox) >= self.mailbox.most - 1024:
             refusal = b"too much is held here", self.retry_advice(operation)
         elif self.trail and self.needs_trail[operation] and self.trail.refuses():
@@ -155,9 +156,12 @@
 
     def on_answer(self, held, kind, details):
         """Records the final answer of an invocation and wakes the greenlet of its client."""
+        # Ended by the balancer: within 5 ms of the deadline the answer says that the time is up.
         if kind == "terminated" and not details:
             held.answer = kind, host.now() >= held.deadline - 5
-        in_time = kind == "succeeded" and host.now() - held.context.begun <= self.slo_times[held.operation]
+        in_time = (
+            kind == "succeeded" and host.now() - held.context.arrived_at <= self.slo_times[held.operation]
+        )
         self.watch.answered(kind, in_time, held.context.tenant, held.operation)
         if self.trail:
             self.trail.append("answer", request=held.context.name, op=held.operation, answer=kind)
@@ -176,7 +180,7 @@
         def still_wanted(waited):
             return (
                 held.answer is None
-                and not held.context.gone()
+                and not held.context.client_gone()
                 and (not waited or self.carrier.may_send(held, seq, generation, host.now()))
             )
 
@@ -235,15 +239,15 @@
         self.trail.append("outcome", status=status, **record)
         return status, answer
 
-    def vote(self, stage, ver, verdict):
+    def vote(self, stage, version, verdict):
         """Casts a vote, unless it is withheld."""
-        if self.withholds_vote(verdict, ver):
+        if self.withholds_vote(verdict, version):
             # Reported as not delivered, so that it is cast again soon. Appended directly: `put_event` could
             # wait for ever here, as this greenlet is the one that empties the mailbox.
-            self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
+            self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, version, 0))
             self.wake()
             return
-        self.link.vote(stage, ver, verdict, self.last_line)
+        self.link.vote(stage, version, verdict, self.last_line)
 
     def signal(self, target, payload):
         """Sends a datagram to a peer, or to all ("*")."""
