--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -1,8 +1,8 @@
 """The round loop on sockets: one greenlet steps the Carrier, and each dispatch runs in a greenlet of its own.
 
-Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is refused, which
-is throttled before anything was executed; other events wait for room, as they must not be lost. The first
-success is handed to its client at once, without waiting for a round.
+Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is throttled
+before anything is executed; other events wait for room, as they must not be lost. The first success is handed
+to its client at once, without waiting for a round.
 """
 
 from .. import host
@@ -39,7 +39,7 @@
 
     def __init__(self, make_balancer, tick, max_held, answer_limit, pools, log, number, codec):
         """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is
-        the least time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
+        the minimum time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
         proxy's. `codec` is the protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit)
         and Reply(limit), a reader of answers."""
         self.tick = tick
@@ -94,7 +94,7 @@
         self.retry_advice = retry_advice
 
     def wake(self):
-        """Starts a round for events that were appended directly to the carrier's."""
+        """Starts a round for events that were appended to those of the carrier directly."""
         self.mailbox.put(None)
 
     def accept(self, operation, tenant, key, time_left, *content):
@@ -195,6 +195,7 @@
         host.spawn(self.run_dispatch, held, seq, flight, generation, self.pools.pool_for(address))
 
     def run_dispatch(self, held, seq, flight, generation, pool):
+        """Runs a dispatch to its end and reports its outcome, whatever happens."""
         try:
             status, answer = self.run_recorded(held, seq, flight, pool)
         except Exception as error:  # noqa: BLE001 - every dispatch must have an outcome
@@ -254,7 +255,7 @@
         self.signals.send(target, payload)
 
     def reload(self):
-        """Asks the controller for the whole node list."""
+        """Requests the whole node list."""
         self.link.ask_whole()
 
     def log_decision(self, line):
