--- a/gannetfront/proxy/kept.py
+++ b/gannetfront/proxy/kept.py
@@ -15,14 +15,17 @@
 MAGIC = b"gannet-nodes-1\n"
 
 
-class KeptList:
+class PersistedNodeList:
     """The node list of the newest message, by revision and epoch.
 
     `nodes` maps a node's address to (entry, incarnation). An entry is the tuple that the balancer gets:
     (address, zone, build, kind, cell, state, weight, start time in ms or 0.0 where it is unknown)."""
 
     def __init__(self):
-        self.revision, self.epoch, self.nodes, self.started = 0, 0, {}, {}
+        self.revision = 0
+        self.epoch = 0
+        self.nodes = {}
+        self.started = {}  # address -> (incarnation, start time in ms)
 
     def entry(self, node, now):
         """Returns the entry of a listed node."""
@@ -51,7 +54,7 @@
             known[1],
         )
 
-    def take(self, message, now):
+    def apply(self, message, now):
         """Applies a list message; returns ("whole" or "changes", entries).
 
         Returns None if an earlier change was missed: then the whole list must be requested."""
@@ -102,5 +105,5 @@
         digest, body = data[len(MAGIC) : len(MAGIC) + 8], data[len(MAGIC) + 8 :]
         if xxhash.xxh64(body).digest() != digest:
             return False
-        self.take(NodeList.FromString(body), now)
+        self.apply(NodeList.FromString(body), now)
         return True
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -1,8 +1,8 @@
 """The round loop on sockets: one greenlet steps the Carrier, and each dispatch runs in a greenlet of its own.
 
-Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is refused, which
-is throttled before anything was executed; other events wait for room, as they must not be lost. The first
-success is handed to its client at once, without waiting for a round.
+Other greenlets put events into the loop's bounded mailbox. When it is full a new invocation is throttled
+before anything is executed; other events wait for room, as they must not be lost. The first success is handed
+to its client at once, without waiting for a round.
 """
 
 from .. import host
@@ -16,23 +16,21 @@
 class Request:
     """What the dispatches of an invocation need of its client's request. Only the codec reads `content`.
 
-    `done` is set with the final answer, `begun` is the time of arrival in ms and `gone()` tells whether the
-    client has closed its connection."""
+    `done` is set with the final answer, `arrived_at` is the time of arrival in ms and `client_gone()` tells
+    whether the client has closed its connection."""
 
-    __slots__ = "content", "name", "done", "begun", "tenant", "gone"
+    __slots__ = "content", "name", "done", "arrived_at", "tenant", "client_gone"
 
     def __init__(self, content, name, tenant):
-        self.content, self.name, self.tenant, self.done, self.begun = (
-            content,
-            name,
-            tenant,
-            host.Once(),
-            host.now(),
-        )
-        self.gone = lambda: False  # replaced by the client's connection, whoever has read from it
+        self.content = content
+        self.name = name
+        self.tenant = tenant
+        self.done = host.Once()
+        self.arrived_at = host.now()
+        self.client_gone = lambda: False  # replaced by the owner of the client's connection
 
 
-class Rounds:
+class RoundLoop:
     """Takes invocations, runs the balancer's rounds and carries out its decisions on sockets.
 
     `decision_time` is the time spent in rounds so far, in ms. The functions `refusal_for`,
@@ -41,31 +39,45 @@
 
     def __init__(self, make_balancer, tick, max_held, answer_limit, pools, log, number, codec):
         """`make_balancer()` returns a fresh Balancer: at the start, and again if a round raises. `tick` is
-        the least time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
+        the minimum time between rounds in ms, `answer_limit` the largest answer in bytes, `number` this
         proxy's. `codec` is the protocol to nodes: name_of(content), dispatch(content, addr, name, seq, limit)
         and Reply(limit), a reader of answers."""
-        self.tick, self.max_held, self.answer_limit, self.codec = tick, max_held, answer_limit, codec
-        self.pools, self.logger, self.name = pools, log, b"proxy/%d" % number
-        self.mailbox, self.flights, self.last_round = host.Mailbox(4 * max_held + 4096), {}, -1e9
-        self.link, self.signals, self.last_line, self.refusal_reason = None, None, "", b""
-        self.retry_after, self.refusal_for = (
-            0.0,
-            lambda operation: None,
-        )  # refusal_for: (reason, ms) for an invocation that is refused now
-        self.status_for_balancer, self.withholds_vote = (
-            lambda address, status: status,
-            lambda verdict, ver: False,
-        )  # the status as the balancer gets it, and whether a vote is withheld
-        self.carrier, self.decision_time, self.round_count = Carrier(make_balancer, self), 0.0, 0
-        self.on_outcome, self.trail, self.needs_trail = lambda *fields: None, None, ()
-        self.watch, self.slo_times, self.retry_advice = StormDetector(host.now()), (), lambda operation: 0.0
-        self.close_idle, self.on_restart, self.build_of = pools.close_idle, lambda: None, lambda address: 0
+        self.tick = tick
+        self.max_held = max_held
+        self.answer_limit = answer_limit
+        self.codec = codec
+        self.pools = pools
+        self.logger = log
+        self.name = b"proxy/%d" % number
+        self.mailbox = host.Mailbox(4 * max_held + 4096)
+        self.flights = {}
+        self.last_round = -1e9
+        self.link = None
+        self.signals = None
+        self.last_line = ""
+        self.refusal_reason = b""
+        self.retry_after = 0.0
+        self.refusal_for = lambda operation: None  # (reason, ms) for an invocation that is refused now
+        self.status_for_balancer = lambda address, status: status
+        self.withholds_vote = lambda verdict, version: False
+        self.carrier = Carrier(make_balancer, self)
+        self.decision_time = 0.0
+        self.round_count = 0
+        self.on_outcome = lambda *fields: None
+        self.trail = None
+        self.needs_trail = ()  # by operation
+        self.watch = StormDetector(host.now())
+        self.slo_times = ()
+        self.retry_advice = lambda operation: 0.0
+        self.close_idle = pools.close_idle
+        self.on_restart = lambda: None
+        self.build_of = lambda address: 0
 
     held = property(lambda self: self.carrier.held)
     balancer = property(lambda self: self.carrier.balancer)
     answer_counts = property(lambda self: self.carrier.answer_counts)
 
-    def tell(self, *event):
+    def put_event(self, *event):
         """Puts an event for the balancer into the mailbox, from another greenlet. Waits while it is full."""
         while not self.mailbox.put(event):
             host.sleep(1)
@@ -75,12 +87,14 @@
 
         `generator` spreads the advice, so that clients do not return together."""
         self.slo_times = [o.slo_time for o in deployment.operations]
-        self.retry_advice = lambda operation: come_back(
-            deployment.retry_advice, self.slo_times[operation], generator.random()
-        )
+
+        def retry_advice(operation):
+            return come_back(deployment.retry_advice, self.slo_times[operation], generator.random())
+
+        self.retry_advice = retry_advice
 
     def wake(self):
-        """Starts a round for events that were appended directly to the carrier's."""
+        """Starts a round for events that were appended to those of the carrier directly."""
         self.mailbox.put(None)
 
     def accept(self, operation, tenant, key, time_left, *content):
@@ -90,6 +104,7 @@
         refusal = self.refusal_for(operation)
         if refusal:
             self.watch.on_answer("throttled", False, tenant, operation)
+        # The rest of the mailbox is kept for events that must not be lost.
         elif len(self.held) >= self.max_held or len(self.mailbox) >= self.mailbox.most - 1024:
             refusal = b"too much is held here", self.retry_advice(operation)
         elif self.trail and self.needs_trail[operation] and self.trail.refuses():
@@ -141,9 +156,12 @@
 
     def on_answer(self, held, kind, details):
         """Records the final answer of an invocation and wakes the greenlet of its client."""
+        # Ended by the balancer: within 5 ms of the deadline the answer says that the time is up.
         if kind == "terminated" and not details:
             held.answer = kind, host.now() >= held.deadline - 5
-        in_time = kind == "succeeded" and host.now() - held.context.begun <= self.slo_times[held.operation]
+        in_time = (
+            kind == "succeeded" and host.now() - held.context.arrived_at <= self.slo_times[held.operation]
+        )
         self.watch.on_answer(kind, in_time, held.context.tenant, held.operation)
         if self.trail:
             self.trail.append("answer", request=held.context.name, op=held.operation, answer=kind)
@@ -162,7 +180,7 @@
         def still_wanted(waited):
             return (
                 held.answer is None
-                and not held.context.gone()
+                and not held.context.client_gone()
                 and (not waited or self.carrier.may_send(held, seq, generation, host.now()))
             )
 
@@ -177,6 +195,7 @@
         host.spawn(self.run_dispatch, held, seq, flight, generation, self.pools.pool_for(address))
 
     def run_dispatch(self, held, seq, flight, generation, pool):
+        """Runs a dispatch to its end and reports its outcome, whatever happens."""
         try:
             status, answer = self.run_recorded(held, seq, flight, pool)
         except Exception as error:  # noqa: BLE001 - every dispatch must have an outcome
@@ -221,22 +240,22 @@
         self.trail.append("outcome", status=status, **record)
         return status, answer
 
-    def vote(self, stage, ver, verdict):
+    def vote(self, stage, version, verdict):
         """Casts a vote, unless it is withheld."""
-        if self.withholds_vote(verdict, ver):
-            # Reported as not delivered, so that it is cast again soon. Appended directly: `tell` could wait
-            # for ever here, as this greenlet is the one that empties the mailbox.
-            self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0))
+        if self.withholds_vote(verdict, version):
+            # Reported as not delivered, so that it is cast again soon. Appended directly: `put_event` could
+            # wait for ever here, as this greenlet is the one that empties the mailbox.
+            self.carrier.events.append(("stage_told", True, stage, 0.0, 0.0, ERROR, version, 0))
             self.wake()
             return
-        self.link.vote(stage, ver, verdict, self.last_line)
+        self.link.vote(stage, version, verdict, self.last_line)
 
     def signal(self, target, payload):
         """Sends a datagram to a peer, or to all ("*")."""
         self.signals.send(target, payload)
 
     def reload(self):
-        """Asks the controller for the whole node list."""
+        """Requests the whole node list."""
         self.link.ask_whole()
 
     def log_decision(self, line):
--- a/gannetfront/proxy/sites.py
+++ b/gannetfront/proxy/sites.py
@@ -94,7 +94,7 @@
         if not weights_changed:
             return
         self.log.warning("site weights", weights=self.shedding.weights, before=before, refused=self.shares())
-        self.rounds.tell("listed", "changes", self.entries_for_decisions(self.entries()))
+        self.rounds.put_event("listed", "changes", self.entries_for_decisions(self.entries()))
         for flight in list(self.rounds.flights.values()):
             # No answer is expected: what may be retried goes to another zone now, clients of the rest are
             # answered now.
