--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,12 +3,12 @@
 from gannetfront import interface as i
 from gannetfront.balance import Balancer
 
-OPS = {
+OPERATIONS = {
     "look": i.Operation("look", i.IDEMPOTENT, 1000.0, 3000.0, 1.0, 0.2, 0.0, "all"),
     "place": i.Operation("place", i.FINGERPRINTED, 1000.0, 3000.0, 5.0, 0.2, 2000.0, "zone"),
     "debit": i.Operation("debit", i.SIDE_EFFECTING, 1000.0, 3000.0, 2.0, 0.2, 0.0, "all"),
 }
-NAMES = list(OPS)
+OPERATION_NAMES = list(OPERATIONS)
 ROLLOUT = dict(
     caps=(0.1, 1.0),
     machine_shares=(1.0, 1.0),
@@ -31,7 +31,7 @@
     delay_price=0.3,
     harm_price=5.0,
 )
-SITE = dict(
+DEPLOYMENT = dict(
     balancers=2,
     me=0,
     zone=0,
@@ -59,25 +59,25 @@
     """A Writer that records each decision as a tuple of its name and fields."""
 
     def __init__(self):
-        self.acts = []
+        self.decisions = []
 
     def __getattr__(self, name):
-        return lambda *fields: self.acts.append((name, *fields))
+        return lambda *fields: self.decisions.append((name, *fields))
 
 
-class Stage:
+class BalancerHarness:
     """One balancer with its clock and its recorded decisions. Each step `verb` is the method `do_verb`."""
 
     def __init__(self, changes):
         rollout = ROLLOUT | {name: value for name, value in changes.items() if name in ROLLOUT}
-        deployment = SITE | {name: value for name, value in changes.items() if name in SITE}
+        deployment = DEPLOYMENT | {name: value for name, value in changes.items() if name in DEPLOYMENT}
         self.balancer = Balancer(
-            7, i.Deployment(operations=tuple(OPS.values()), rollout=i.Rollout(**rollout), **deployment)
+            7, i.Deployment(operations=tuple(OPERATIONS.values()), rollout=i.Rollout(**rollout), **deployment)
         )
         self.out = Recorder()
         self.now = 1000.0
         self.queue = []
-        self.next_inv = 1
+        self.next_invocation_id = 1
         self.listing = {}
 
     def flush(self):
@@ -96,9 +96,13 @@
 
     def dispatches(self, invocation_id=None):
         """The dispatches of an invocation, or all."""
-        return [act for act in self.out.acts if act[0] == "dispatch" and invocation_id in (None, act[1])]
+        return [
+            decision
+            for decision in self.out.decisions
+            if decision[0] == "dispatch" and invocation_id in (None, decision[1])
+        ]
 
-    def play(self, line):
+    def run(self, line):
         """Runs one line of a scenario."""
         verb, *arguments = line.split()
         getattr(self, "do_" + verb)(*arguments)
@@ -137,9 +141,16 @@
         """New invocations, one in each round."""
         for _ in range(int(count)):
             self.queue.append(
-                ("invocation", self.next_inv, None, NAMES.index(operation), 0, float(time_left))
+                (
+                    "invocation",
+                    self.next_invocation_id,
+                    None,
+                    OPERATION_NAMES.index(operation),
+                    0,
+                    float(time_left),
+                )
             )
-            self.next_inv += 1
+            self.next_invocation_id += 1
             self.flush()
 
     def do_answer(self, invocation_id, status, took="100"):
@@ -164,12 +175,16 @@
             return self.balancer.servers[address].build
 
         for _ in range(int(float(seconds) * 10)):
-            first, begin = self.next_inv, len(self.out.acts)
-            for name in NAMES:
+            first, begin = self.next_invocation_id, len(self.out.decisions)
+            for name in OPERATION_NAMES:
                 self.do_take(each, name)
-            for act in [act for act in self.out.acts[begin:] if act[0] == "dispatch" and act[1] >= first]:
-                _, invocation_id, address, _ = act
-                name = NAMES[self.balancer.invocations[invocation_id].operation_index]
+            for decision in [
+                decision
+                for decision in self.out.decisions[begin:]
+                if decision[0] == "dispatch" and decision[1] >= first
+            ]:
+                _, invocation_id, address, _ = decision
+                name = OPERATION_NAMES[self.balancer.invocations[invocation_id].operation_index]
                 status = i.SUCCEEDED
                 took = 100.0 + invocation_id * 37 % 100
                 if "bad" in values:
@@ -193,10 +208,10 @@
 
     def do_expect(self, what, *arguments):
         self.flush()
-        acts = self.out.acts
+        decisions = self.out.decisions
         if what == "votes":
             names = {i.PROMOTE: "on", i.ROLL_BACK: "back"}
-            actual = sorted({names[act[3]] for act in acts if act[0] == "vote"})
+            actual = sorted({names[decision[3]] for decision in decisions if decision[0] == "vote"})
             assert actual == sorted(arguments), f"votes {actual}"
             return
         if what == "sent":  # expect sent INV COUNT
@@ -206,24 +221,27 @@
             assert self.dispatches(int(arguments[0]))[-1][2] == arguments[1]
         elif what == "final":  # expect final INV throttle|terminate
             actual = [
-                act[0] for act in acts if act[0] in ("throttle", "terminate") and act[1] == int(arguments[0])
+                decision[0]
+                for decision in decisions
+                if decision[0] in ("throttle", "terminate") and decision[1] == int(arguments[0])
             ]
             assert actual == list(arguments[1:]), f"invocation {arguments[0]} ended with {actual}"
         elif what == "held":  # expect held OP COUNT: at least so many were throttled or terminated (0: none)
             actual = sum(
                 1
-                for act in acts
-                if act[0] in ("throttle", "terminate") and (act[1] - 1) % 3 == NAMES.index(arguments[0])
+                for decision in decisions
+                if decision[0] in ("throttle", "terminate")
+                and (decision[1] - 1) % 3 == OPERATION_NAMES.index(arguments[0])
             )
             assert actual >= int(arguments[1]) and (actual == 0 or int(arguments[1])), (
                 f"{actual} of {arguments[0]} were throttled or terminated"
             )
         elif what == "coldest":  # expect coldest MOST: dispatches at the server that refused the first one
             first = self.dispatches(1)[0][2]
-            actual = sum(1 for act in self.dispatches() if act[2] == first)
+            actual = sum(1 for decision in self.dispatches() if decision[2] == first)
             assert actual <= int(arguments[0]), f"{actual} dispatches at {first}"
         elif what == "at":  # expect at SERVER LEAST MOST
-            actual = sum(1 for act in self.dispatches() if act[2] == arguments[0])
+            actual = sum(1 for decision in self.dispatches() if decision[2] == arguments[0])
             assert int(arguments[1]) <= actual <= int(arguments[2]), f"{actual} dispatches at {arguments[0]}"
         else:
             raise ValueError(what)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -15,7 +15,7 @@
 from gannetfront.trail import log
 from gannetfront.trail.disk import Disk
 from gannetfront.wire import control_pb2 as c, http
-from helpers import Stage
+from helpers import BalancerHarness
 from rig import FLEET, Log, Node, Rig, ok
 from test_audit import HOOKS, play
 
@@ -214,13 +214,13 @@
 
 
 def test_let_go_together_they_meet_the_ledgers_of_a_cold_server_one_by_one():
-    stage = Stage(dict(balancers=2))
+    stage = BalancerHarness(dict(balancers=2))
     for line in ("server s age=1", "list kept s", "server s age=1"):
-        stage.play(line)
+        stage.run(line)
     stage.flush()
     sent = []
     for _ in range(6):  # decided far apart: none of them is more than the server stands
-        stage.play("take 1 debit 60000")
+        stage.run("take 1 debit 60000")
         sent += [a[1] for a in stage.dispatches() if a[1] not in sent]
         stage.wait(1100)
     assert len(sent) > 3
@@ -235,11 +235,11 @@
 
 
 def test_asked_again_with_nothing_changed_it_stands_and_counts_once():
-    stage = Stage(dict(dispatch_cap=1))
-    stage.play("server old")
-    stage.play("server new build=2")
-    stage.play("stage 0 1.0 2")
-    stage.play("take 20 debit")
+    stage = BalancerHarness(dict(dispatch_cap=1))
+    stage.run("server old")
+    stage.run("server new build=2")
+    stage.run("stage 0 1.0 2")
+    stage.run("take 20 debit")
     stage.flush()
 
     def count():
@@ -251,9 +251,9 @@
         and all(stage.balancer.stands(stage.now, a[1], 0) for a in stage.dispatches())
         and count() == before
     )
-    stage = Stage({})
-    stage.play("server cold age=1")
-    stage.play("take 1 debit")
+    stage = BalancerHarness({})
+    stage.run("server cold age=1")
+    stage.run("take 1 debit")
     assert stage.balancer.stands(stage.now, 1, 0), "its own sending is no reason against it"
 
 
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gannetfront import interface as i
-from helpers import NAMES, OPS, Stage
+from helpers import OPERATION_NAMES, OPERATIONS, BalancerHarness
 
 FAILED = i.ERROR, i.FULL, i.TIMEOUT, i.UNCONNECTED, i.RESET, i.MOOT
 STATES = i.READY, i.READY, i.READY, i.DRAINING, i.GONE
@@ -16,7 +16,7 @@
 
 class Day:
     def __init__(self, seed, facts):
-        self.state, self.stage = seed, Stage(facts)
+        self.state, self.stage = seed, BalancerHarness(facts)
         self.out, self.open, self.ended, self.read, self.advice = {}, set(), set(), 0, facts["retry_advice"]
         self.gave_up = 0
 
@@ -65,9 +65,18 @@
                 status = i.TIMEOUT if late else i.SUCCEEDED if self.draw(3) else self.of(FAILED)
                 self.landed(inv, seq, status)
         for _ in range(self.draw(4)):
-            tell(("invocation", stage.next_inv, None, self.draw(len(NAMES)), 0, 20.0 + self.draw(3000)))
-            self.open.add(stage.next_inv)
-            stage.next_inv += 1
+            tell(
+                (
+                    "invocation",
+                    stage.next_invocation_id,
+                    None,
+                    self.draw(len(OPERATION_NAMES)),
+                    0,
+                    20.0 + self.draw(3000),
+                )
+            )
+            self.open.add(stage.next_invocation_id)
+            stage.next_invocation_id += 1
         stage.flush()
         self.look()
 
@@ -79,7 +88,7 @@
         self.stage.queue.append(("outcome", inv, seq, addr, status, 50.0, inv in self.ended, {}))
 
     def look(self):
-        acts, called_off = self.stage.out.acts, []
+        acts, called_off = self.stage.out.decisions, []
         for act, *p in acts[self.read :]:
             if act == "dispatch":
                 seq = sum(1 for a in acts[: self.read] if a[0] == "dispatch" and a[1] == p[0])
@@ -112,7 +121,7 @@
     given_up = 0
     for seed in range(12):
         day = Day(seed, dict(may_duplicate=duplicate, may_cancel=cancel, retry_advice=advice))
-        day.stage.balancer.operations = [replace(op, late_value=late) for op in OPS.values()]
+        day.stage.balancer.operations = [replace(op, late_value=late) for op in OPERATIONS.values()]
         for _ in range(150):
             day.step()
         given_up += day.gave_up
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from gannetfront import interface as i
-from helpers import Stage
+from helpers import BalancerHarness
 
 
 def sent(stages, takes):
@@ -13,7 +13,7 @@
         stage.balancer.random_state = 1000003 * (number + 1)
         stage.do_take(takes, "debit")
         at.update(act[2] for act in stage.dispatches())
-        gave_up += sum(act[0] == "throttle" for act in stage.out.acts)
+        gave_up += sum(act[0] == "throttle" for act in stage.out.decisions)
     return at, gave_up
 
 
@@ -24,7 +24,7 @@
 
 
 def fleet(*entries, balancers=200, cap=0.0, zones=1, **facts):
-    stages = [Stage({"balancers": balancers, "zone": n % zones} | facts) for n in range(balancers)]
+    stages = [BalancerHarness({"balancers": balancers, "zone": n % zones} | facts) for n in range(balancers)]
     for stage in stages:
         stage.now = 100000.0
         stage.queue += [
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,7 +10,7 @@
 from gannetfront.benchlink import codec
 from gannetfront.benchlink.__main__ import Link
 from edge_rig import SETTINGS
-from helpers import Stage
+from helpers import BalancerHarness
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
@@ -29,16 +29,16 @@
     lines = [line.split("#")[0].strip() for line in path.read_text().splitlines()]
     lines = [line for line in lines if line]
     settings = lines.pop(0).split()[1:] if lines[0].startswith("set ") else []
-    stage = Stage(facts(settings))
+    harness = BalancerHarness(facts(settings))
     for line in lines:
-        stage.play(line)
-    ended = [act[1] for act in stage.out.acts if act[0] in ("throttle", "terminate")]
+        harness.run(line)
+    ended = [decision[1] for decision in harness.out.decisions if decision[0] in ("throttle", "terminate")]
     assert len(ended) == len(set(ended)), "an invocation got two final answers"
 
 
 @pytest.fixture
 def judge():
-    return Stage({}).balancer
+    return BalancerHarness({}).balancer
 
 
 def test_jackknife_against_hand_figures(judge):
@@ -71,26 +71,26 @@
 
 
 def test_immediate_failure_does_not_count_as_a_fast_answer():
-    stage = Stage({})
+    harness = BalancerHarness({})
     for line in ("server a", "take 1 look", "answer 1 error 2"):
-        stage.play(line)
-    pace, failure_rate = stage.balancer.servers["a"].health(stage.now, 500.0)
+        harness.run(line)
+    pace, failure_rate = harness.balancer.servers["a"].health(harness.now, 500.0)
     assert pace >= 500.0 and failure_rate > 0
 
 
 def test_new_portions_apply_to_the_arrivals_already_counted():
     from gannetfront.balance import Invocation
 
-    stage = Stage({"tenants": ((0.5, 0.0), (0.5, 0.0)), "over_share_value": 0.1})
+    harness = BalancerHarness({"tenants": ((0.5, 0.0), (0.5, 0.0)), "over_share_value": 0.1})
     for line in ("server a", "take 30 look"):
-        stage.play(line)
-    balancer = stage.balancer
+        harness.run(line)
+    balancer = harness.balancer
     balancer.open_limit, invocation = 31.0, Invocation(0, 1, None, balancer.now, balancer.now + 1000)
     # The arrivals are over their tenant's portion and worth less: they give way to this invocation.
     assert not balancer.exceeds_limit(invocation)
     before = dict(balancer.arrivals.counts)
-    stage.queue.append(("tenants_listed", ((1.0, 0.0), (0.5, 0.0))))
-    stage.flush()
+    harness.queue.append(("tenants_listed", ((1.0, 0.0), (0.5, 0.0))))
+    harness.flush()
     assert balancer.exceeds_limit(invocation) and balancer.arrivals.counts == before
 
 
