--- a/gannetfront/balance.py
+++ b/gannetfront/balance.py
@@ -262,15 +262,15 @@
         # Own outcomes and the platform's: (build, operation) -> deque of (time, group, status, time taken)
         self.observed = {}
         self.tallied = {}
-        self.proof = None  # (time, result of evidence())
-        self.proof_stale = False
+        self.latest_evidence = None  # (time, result of evidence())
+        self.evidence_stale = False
         self.last_vote = None  # (verdict, version, stage)
         self.newest_start = {}  # build -> start of its newest ready server
         self.pools_due = 0.0
         self.wake_at = -1.0
         self.limit_cut_at = -1e9
         self.next_sweep_at = 0.0
-        self.last_pressure_at = 0.0
+        self.limit_updated_at = 0.0
         self.voted_at = 0.0
         self.vote_due = 0.0
         self.stage_began_at = 0.0
@@ -283,7 +283,7 @@
         self.open_limit = 1e9  # on open invocations
         self.usable_share = 1.0
         self.zone_count = 1
-        self.trial_loaded = False
+        self.last_stage_loaded = False
 
     def round(self, now, events, out):
         """Processes the events of one round and writes the decisions to `out`."""
@@ -370,7 +370,7 @@
         self.tenants = tenants
 
     def begun(self, *fields):
-        """An event that calls for no decision, like `timer` and `probed`: a round is run, which is enough."""
+        """Handles events that need no decision of their own: they only cause a round."""
 
     timer = probed = begun
 
@@ -387,7 +387,7 @@
         self.tallied.setdefault((build, operation), deque(maxlen=400)).extend(
             [(*unit, ERROR, None)] * bad + [(*unit, None, None if young else took)] * (attempts - bad)
         )
-        self.proof_stale = self.proof_stale or build == self.version
+        self.evidence_stale = self.evidence_stale or build == self.version
 
     def peer(self, sender, payload):
         """Outcomes that another balancer reported to this judge, three bytes each; see record_outcome()."""
@@ -442,10 +442,10 @@
         self.zone_count = len({server.zone for _, server in ready})
         # At the last stage, where the build may take all traffic, it gets most of it before its release: a
         # build that fails only under load would otherwise show it when no earlier servers are left.
-        self.trial_loaded = (
+        self.last_stage_loaded = (
             self.phase == TRIAL and self.cap >= 1 and self.stage >= len(self.remaining_shares) - 1
         )
-        old_factor = EARLIER_BUILD_WEIGHT if self.trial_loaded else 1.0
+        old_factor = EARLIER_BUILD_WEIGHT if self.last_stage_loaded else 1.0
         # Only warm trial servers take the extra load, each no more than it will once all of the build runs;
         # cold servers keep to their ramp.
         warm = sum(server.weight for _, server in new.candidates if not self.is_cold(server))
@@ -817,7 +817,7 @@
         self.observed.setdefault((build, operation), deque(maxlen=800)).append(
             (self.now, group, status, took)
         )
-        self.proof_stale = self.proof_stale or build == self.version
+        self.evidence_stale = self.evidence_stale or build == self.version
 
     def sweep(self):
         """Periodic work: time-outs, statistics, rescue of stuck attempts, the limit on load, the verdict."""
@@ -900,8 +900,8 @@
         ]
         slow = sum(1 for ratio in ratios if ratio > 0.8)
         if len(ratios) >= 4 and slow > (0.35 if few else 0.2) * len(ratios):
-            # Where no answer at all is fast enough, dispatches pile up until the servers resume: one at a
-            # time.
+            # Where no answer at all is fast enough, dispatches pile up until the servers resume: the limit
+            # may then fall to one.
             minimum, factor = (1.0, 0.5) if slow == len(ratios) else (4.0, 0.8)
             # A limit below one admits at random.
             floor = min(minimum, 0.25 * self.arrival_rate * self.mean_slo_time)
@@ -921,8 +921,8 @@
                 self.open_limit * 1.01 + 0.05 + min(0.1 * self.open_limit, quick / self.open_limit)
             )
         if few and (slow < len(ratios) or not ratios):  # slow answers alone are no reason to raise the limit
-            self.open_limit *= 1.01 ** min(10, (self.now - self.last_pressure_at) / SWEEP_PERIOD_MS)
-        self.last_pressure_at = self.now
+            self.open_limit *= 1.01 ** min(10, (self.now - self.limit_updated_at) / SWEEP_PERIOD_MS)
+        self.limit_updated_at = self.now
 
     def exceeds_limit(self, invocation):
         """Whether the limit on open invocations leaves no place for this one.
@@ -1047,8 +1047,8 @@
 
         for operation in indices:
             # Against bursts and slowdowns of all servers at once, the earlier builds' outcomes are given the
-            # weight that the new build's have in each two seconds; seconds with outcomes of one side are left
-            # out.
+            # weight that the new build's have in each two seconds. Where only one side has outcomes they are
+            # left out.
             new = source.get((self.version, operation), ())
             old = earlier(source, operation)
             new_counts, old_counts = (Counter(x[0] // 2000 for x in outcomes) for outcomes in (new, old))
@@ -1067,7 +1067,7 @@
             slo = 0.9 * self.operations[operation].slo_time
             rows[0].append(comparison(lambda x: 1.0 if x[2] in FAILURES else late(x, slo), both))
             fair = (
-                ([], []) if self.trial_loaded and self.stage else both
+                ([], []) if self.last_stage_loaded and self.stage else both
             )  # any build is slower under more load
             rows[1].append(
                 comparison(lambda x: late(x, slow_mark), [[x for x in outcomes if x[3]] for outcomes in fair])
@@ -1115,12 +1115,14 @@
         """Votes to roll back or to promote the newest build, if a vote is due and the evidence suffices."""
         if self.now < self.vote_due or self.phase not in (TRIAL, RELEASED):
             return
-        if self.proof_stale or not self.proof or self.now > self.proof[0] + 1000:
-            self.proof = (self.now, *self.evidence())
-            self.proof_stale = False
-        _, pooled, wrong, slow, errors, failed = self.proof
+        if self.evidence_stale or not self.latest_evidence or self.now > self.latest_evidence[0] + 1000:
+            self.latest_evidence = (self.now, *self.evidence())
+            self.evidence_stale = False
+        _, pooled, wrong, slow, errors, failed = self.latest_evidence
         verdict = None
-        build_up_at = self.newest_start.get(self.version, self.now) + self.trial_loaded * self.warm_within
+        build_up_at = (
+            self.newest_start.get(self.version, self.now) + self.last_stage_loaded * self.warm_within
+        )
         # The release may have more stages than the settings of this balancer.
         step = min(self.stage, len(self.remaining_shares) - 1)
 
