--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gannetfront import interface as i
-from helpers import NAMES, OPS, Stage
+from helpers import OPERATION_NAMES, OPERATIONS, BalancerHarness
 
 FAILURES = i.ERROR, i.FULL, i.TIMEOUT, i.UNCONNECTED, i.RESET, i.MOOT
 STATES = i.READY, i.READY, i.READY, i.DRAINING, i.GONE
@@ -20,7 +20,7 @@
 
     def __init__(self, seed, facts):
         self.state = seed
-        self.stage = Stage(facts)
+        self.stage = BalancerHarness(facts)
         self.in_flight = {}
         self.open = set()
         self.ended = set()
@@ -89,15 +89,15 @@
             queue_event(
                 (
                     "invocation",
-                    stage.next_inv,
+                    stage.next_invocation_id,
                     None,
-                    self.random(len(NAMES)),
+                    self.random(len(OPERATION_NAMES)),
                     0,
                     20.0 + self.random(3000),
                 )
             )
-            self.open.add(stage.next_inv)
-            stage.next_inv += 1
+            self.open.add(stage.next_invocation_id)
+            stage.next_invocation_id += 1
         stage.flush()
         self.check()
 
@@ -112,7 +112,7 @@
 
     def check(self):
         """Applies the decisions of the last round and compares what is held with what is owed an answer."""
-        decisions, cancelled = self.stage.out.acts, []
+        decisions, cancelled = self.stage.out.decisions, []
         for kind, *fields in decisions[self.decisions_read :]:
             if kind == "dispatch":
                 seq = sum(
@@ -149,7 +149,7 @@
     given_up = 0
     for seed in range(12):
         run = RandomRun(seed, dict(may_duplicate=duplicate, may_cancel=cancel, retry_advice=advice))
-        run.stage.balancer.operations = [replace(op, late_value=late) for op in OPS.values()]
+        run.stage.balancer.operations = [replace(op, late_value=late) for op in OPERATIONS.values()]
         for _ in range(150):
             run.step()
         given_up += run.given_up
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from gannetfront import interface as i
-from helpers import Stage
+from helpers import BalancerHarness
 
 
 def send_all(stages, invocations):
@@ -13,7 +13,7 @@
         stage.balancer.random_state = 1000003 * (number + 1)
         stage.do_take(invocations, "debit")
         by_server.update(decision[2] for decision in stage.dispatches())
-        throttled += sum(decision[0] == "throttle" for decision in stage.out.acts)
+        throttled += sum(decision[0] == "throttle" for decision in stage.out.decisions)
     return by_server, throttled
 
 
@@ -26,7 +26,9 @@
 
 def balancers_with(*entries, balancers=200, cap=0.0, zones=1, **deployment):
     """Balancers that all received the same list, while build 2 is rolled back."""
-    stages = [Stage({"balancers": balancers, "zone": n % zones} | deployment) for n in range(balancers)]
+    stages = [
+        BalancerHarness({"balancers": balancers, "zone": n % zones} | deployment) for n in range(balancers)
+    ]
     for stage in stages:
         stage.now = 100000.0
         stage.queue += [
