--- a/gannetfront/tenants/kept.py
+++ b/gannetfront/tenants/kept.py
@@ -1,4 +1,4 @@
-"""Views on their way: packed for the wire and the disk, whole or as changes. No I/O."""
+"""Encoding of views for the wire and for the disk, whole or as changes to an earlier view. No I/O."""
 
 import xxhash
 
@@ -6,8 +6,9 @@
 from ..wire.control_pb2 import Group, Member, TenantView
 from .views import View
 
-MAGIC, PART = b"gannet-tenants-1\n", 20000
-LIFE = 31  # bits of an epoch that tell the lives of its giver apart
+# The first bytes of a view file; the most tenants in one TenantView message.
+MAGIC, MEMBERS_PER_MESSAGE = b"gannet-tenants-1\n", 20000
+LIFE = 31  # low bits of an epoch: the life (incarnation) of the process that issues its views
 
 
 def wired(epoch):
@@ -15,25 +16,25 @@
     return dict(epoch=epoch >> LIFE, life=epoch & (1 << LIFE) - 1)
 
 
-def epoch_in(told):
-    """The epoch that a message names."""
-    return told.epoch << LIFE | told.life
+def epoch_in(message):
+    """The epoch that the fields of `message` hold."""
+    return message.epoch << LIFE | message.life
 
 
 def parts(view, epoch, age, base=None):
-    """TenantView messages: the whole view, or what changed from `base`."""
+    """Yields the TenantView messages of the whole view, or of its changes against the view `base`. `age` in ms."""
     before = base.members if base else {}
     changed = [(i, g, q) for i, (g, q) in sorted(view.members.items()) if before.get(i) != (g, q)]
     members = [Member(id=i, group=g, quota=q) for i, g, q in changed]
     members += [Member(id=i, gone=True) for i in sorted(before.keys() - view.members.keys())]
     groups = [Group(name=n, portion=p) for n, p in sorted(view.groups.items())]
-    for at in range(0, max(1, len(members)), PART):
-        last = at + PART >= len(members)
+    for start in range(0, max(1, len(members)), MEMBERS_PER_MESSAGE):
+        last = start + MEMBERS_PER_MESSAGE >= len(members)
         yield TenantView(
             number=view.number,
             **wired(epoch),
             base=base.number if base else 0,
-            members=members[at : at + PART],
+            members=members[start : start + MEMBERS_PER_MESSAGE],
             groups=groups if last else [],
             last=last,
             age=age,
@@ -41,7 +42,8 @@
 
 
 def pack(view, epoch, age):
-    """The whole view for the disk: whole or absent, by its sum."""
+    """The whole view as the bytes of a file: magic, checksum, message. The checksum tells a torn file from a whole one.
+    `age` in ms."""
     data = TenantView(
         number=view.number,
         **wired(epoch),
@@ -55,37 +57,41 @@
 
 
 def unpack(data):
-    """(View, epoch, age) or None for a torn or foreign file."""
+    """(View, epoch, age in ms) from the bytes of a file; None for a torn file or one of another format."""
     if not data or not data.startswith(MAGIC) or len(data) < len(MAGIC) + 8:
         return None
     digest, body = data[len(MAGIC) : len(MAGIC) + 8], data[len(MAGIC) + 8 :]
     if xxhash.xxh64(body).digest() != digest:
         return None
-    told = TenantView.FromString(body)
+    message = TenantView.FromString(body)
     return (
         View(
-            told.number,
-            {x.id: (x.group, x.quota) for x in told.members},
-            {g.name: g.portion for g in told.groups},
+            message.number,
+            {x.id: (x.group, x.quota) for x in message.members},
+            {g.name: g.portion for g in message.groups},
             [],
         ),
-        epoch_in(told),
-        told.age,
+        epoch_in(message),
+        message.age,
     )
 
 
 class Publisher:
-    """Views for proxies: what is sent to one that holds (epoch, number). Packed once, whoever asks."""
+    """The last views of an epoch, encoded for proxies. Frames are packed once and reused for all proxies that hold the
+    same view."""
 
-    def __init__(self, epoch, most):
-        self.epoch, self.most, self.views, self.packed = epoch, most, [], {}
+    def __init__(self, epoch, history):
+        """`history` is how many views are remembered: a proxy that holds one of them is sent changes only."""
+        self.epoch, self.history, self.views, self.packed = epoch, history, [], {}
 
     def publish(self, view):
-        self.views = (self.views + [view])[-self.most :]
+        """Makes `view` the newest one."""
+        self.views = (self.views + [view])[-self.history :]
         self.packed = {}
 
     def frames_for(self, epoch, number, age):
-        """[bytes]: nothing where it holds the last already, changes where its view is known, else the whole."""
+        """Frames for a proxy that holds view `number` of `epoch`: none when it is the newest, changes when that view is
+        remembered, else the whole view. `age` in ms."""
         if not self.views:
             return []
         last = self.views[-1]
@@ -99,33 +105,34 @@
 
 
 class Held:
-    """The view as a proxy holds it: parts in, whole views out."""
+    """A proxy's copy of the view: takes messages and replaces the copy once a view is complete."""
 
     def __init__(self):
         self.epoch, self.number, self.members, self.groups, self.parts = 0, 0, None, {}, []
 
-    def take(self, told):
-        """A dict (members, groups, age) once a view is whole; None while it is not; raises ValueError for one that does
-        not follow from what is held: the whole must be asked for."""
-        epoch = epoch_in(told)
-        if (epoch, told.number) < (self.epoch, self.number):
+    def take(self, message):
+        """Takes a TenantView. Returns a dict (members, groups, age) when the view is complete, None while messages of
+        it are missing. Raises ValueError for a view that is older than the copy, or for changes that do not follow from
+        it: the caller must then request the whole view."""
+        epoch = epoch_in(message)
+        if (epoch, message.number) < (self.epoch, self.number):
             raise ValueError(
-                f"view {epoch}.{told.number} is older than the one held, {self.epoch}.{self.number}"
+                f"view {epoch}.{message.number} is older than the current one, {self.epoch}.{self.number}"
             )
-        if told.base and (epoch, told.base) != (self.epoch, self.number):
-            raise ValueError(f"changes on view {told.base}, but {self.number} is held")
-        if self.parts and (epoch_in(self.parts[0]), self.parts[0].number) != (epoch, told.number):
+        if message.base and (epoch, message.base) != (self.epoch, self.number):
+            raise ValueError(f"changes on view {message.base}, but view {self.number} is current")
+        if self.parts and (epoch_in(self.parts[0]), self.parts[0].number) != (epoch, message.number):
             self.parts = []
-        self.parts.append(told)
-        if not told.last:
+        self.parts.append(message)
+        if not message.last:
             return None
-        members = dict(self.members or {}) if told.base else {}
+        members = dict(self.members or {}) if message.base else {}
         for part in self.parts:
             for m in part.members:
                 if m.gone:
                     members.pop(m.id, None)
                 else:
                     members[m.id] = m.group, m.quota
-        self.parts, self.members, self.groups = [], members, {g.name: g.portion for g in told.groups}
-        self.epoch, self.number = epoch, told.number
-        return dict(members=members, groups=self.groups, age=told.age)
+        self.parts, self.members, self.groups = [], members, {g.name: g.portion for g in message.groups}
+        self.epoch, self.number = epoch, message.number
+        return dict(members=members, groups=self.groups, age=message.age)
