--- a/gannetfront/tenants/views.py
+++ b/gannetfront/tenants/views.py
@@ -1,21 +1,22 @@
-"""From directory entries to a numbered view of tenants and groups. No I/O.
+"""Builds numbered views of tenants and groups from directory entries. No I/O.
 
-A view is a whole: made in one step from all entries known, numbered, with the time of its last confirmation. An entry
-that cannot be used is quarantined and named; the rest serve. A step that would take away more than a stated part of the
-tenants is held until an operator accepts it: a filter gone wrong must not turn everyone away.
+A view is built as a whole from all known entries, and carries a number. An entry that cannot be used is quarantined and
+reported; the others are served. A view that would remove more than a set share of the tenants is held until an operator
+accepts it, so that a wrong filter does not refuse every tenant.
 """
 
 from math import isfinite
 
-NONE = "-"  # the group of tenants without one
+NO_GROUP = "-"  # the group of tenants that are in none
 
 
 class Mapping:
-    """Which attributes say what; names in lower case. `portion` and `quota` are read from the group's entry first and
-    from the tenant's where the group has none."""
+    """Which attributes hold what; their names are compared in lower case. `portion` and `quota` are read from the
+    group's entry, and from the tenant's where the group has none; `nesting` limits how many levels of groups within
+    groups are followed. An empty name means that the attribute is not used."""
 
-    def __init__(self, ident, portion="", quota="", member_of="", member="", group_id="cn", nesting=8):
-        self.ident, self.portion, self.quota = ident.lower(), portion.lower(), quota.lower()
+    def __init__(self, tenant_id, portion="", quota="", member_of="", member="", group_id="cn", nesting=8):
+        self.tenant_id, self.portion, self.quota = tenant_id.lower(), portion.lower(), quota.lower()
         self.member_of, self.member, self.group_id, self.nesting = (
             member_of.lower(),
             member.lower(),
@@ -25,7 +26,8 @@
 
 
 class View:
-    """number · members {id: (group name, quota)} · groups {name: portion} · troubles [(dn, why)]"""
+    """A numbered view: `members` {tenant: (group name, quota in invocations a second)}, `groups` {name: portion} and
+    `troubles` [(dn, reason)] of the quarantined entries."""
 
     __slots__ = "number", "members", "groups", "troubles"
 
@@ -33,18 +35,20 @@
         self.number, self.members, self.groups, self.troubles = number, members, groups, troubles
 
     def same(self, other):
+        """Whether `other` is a view with the same tenants and groups, whatever its number."""
         return other is not None and (self.members, self.groups) == (other.members, other.groups)
 
 
-def plain_dn(raw):
-    """A DN made comparable: case and the blanks around its commas do not count; an escaped comma is no end."""
+def normalized_dn(raw):
+    """A DN in a form that can be compared: lower case, without blanks around its separators. An escaped comma is part
+    of a value."""
     text = raw.decode("utf-8")
-    parts, part, skip = [], "", False
+    parts, part, escaped = [], "", False
     for char in text:
-        if skip:
-            part, skip = part + char, False
+        if escaped:
+            part, escaped = part + char, False
         elif char == "\\":
-            part, skip = part + char, True
+            part, escaped = part + char, True
         elif char in ",;":
             parts.append(part)
             part = ""
@@ -53,20 +57,21 @@
     return ",".join("=".join(x.strip().lower() for x in p.split("=", 1)) for p in [*parts, part])
 
 
-def word(attrs, name, what):
-    """The one value of an attribute as text; ValueError names what is wrong."""
+def single_text(attrs, name, owner):
+    """The only value of an attribute as text; raises ValueError with the reason where there is none or it cannot be
+    used. `owner` names what needs the value, for that reason."""
     values = attrs.get(name, [])
     if len(values) != 1:
-        raise ValueError(f"{name} has {len(values)} values, {what} needs one")
-    text = values[0].decode("utf-8", "strict") if values[0].isascii() or utf8(values[0]) else None
+        raise ValueError(f"{name} has {len(values)} values, {owner} needs one")
+    text = values[0].decode("utf-8", "strict") if values[0].isascii() or is_utf8(values[0]) else None
     if text is None:
         raise ValueError(f"{name} is not UTF-8")
     if not text or len(text) > 256 or any(c in text for c in "\r\n\0"):
-        raise ValueError(f"{name} is empty, past 256 characters, or holds a line end")
+        raise ValueError(f"{name} is empty, past 256 characters, or contains a line end or NUL")
     return text
 
 
-def utf8(raw):
+def is_utf8(raw):
     try:
         raw.decode("utf-8")
         return True
@@ -74,118 +79,139 @@
         return False
 
 
-def number(attrs, name, most):
-    """A figure, or None where there is none; ValueError where it is none or out of range."""
+def optional_number(attrs, name, maximum):
+    """The value of an attribute as a number, None where the attribute is unused or absent; raises ValueError where it is
+    not a number or outside 0 to `maximum`."""
     if not name or name not in attrs:
         return None
-    text = word(attrs, name, "a figure")
+    text = single_text(attrs, name, "a figure")
     try:
         value = float(text)
     except ValueError:
-        raise ValueError(f"{name} '{text[:40]}' is no number") from None
-    if not isfinite(value) or not 0 <= value <= most:
-        raise ValueError(f"{name} {text[:40]} is outside 0 to {most:g}")
+        raise ValueError(f"{name} '{text[:40]}' is not a number") from None
+    if not isfinite(value) or not 0 <= value <= maximum:
+        raise ValueError(f"{name} {text[:40]} is outside 0 to {maximum:g}")
     return value
 
 
 def build(mapping, tenants, groups, view_number):
-    """`tenants` and `groups` are {uuid: (dn bytes, attrs)}; a View."""
-    troubles, named, parents, portions = [], {}, {}, {}
+    """The View of directory entries. `tenants` and `groups` are {uuid: (dn bytes, attrs)}. Raises nothing for a bad
+    entry: it is quarantined with its reason."""
+    errors, group_facts, parents, portions = [], {}, {}, {}
     for uuid, (dn, attrs) in sorted(groups.items()):
         try:
-            key = plain_dn(dn)
-            name = word(attrs, mapping.group_id, "a group")
-            portion, quota = number(attrs, mapping.portion, 1.0), number(attrs, mapping.quota, 1e9)
-            named[key] = name, portion, quota
+            key = normalized_dn(dn)
+            name = single_text(attrs, mapping.group_id, "a group")
+            portion, quota = (
+                optional_number(attrs, mapping.portion, 1.0),
+                optional_number(attrs, mapping.quota, 1e9),
+            )
+            group_facts[key] = name, portion, quota
             if mapping.member:
                 for raw in attrs.get(mapping.member, ()):
-                    parents.setdefault(plain_dn(raw), []).append(key)
+                    parents.setdefault(normalized_dn(raw), []).append(key)
             if mapping.member_of:
                 for raw in attrs.get(mapping.member_of, ()):
-                    parents.setdefault(key, []).append(plain_dn(raw))
-        except (ValueError, UnicodeDecodeError) as trouble:
-            troubles.append((shown(dn), reason(trouble)))
-    looped = set()
-
-    def find(start):
-        """The nearest group upwards with a portion, breadth first by name; else the nearest of all."""
-        level, seen, first = [start], {start}, None
+                    parents.setdefault(key, []).append(normalized_dn(raw))
+        except (ValueError, UnicodeDecodeError) as error:
+            errors.append((printable_dn(dn), reason(error)))
+    in_cycle = set()
+
+    def effective_group(start):
+        """The nearest group from `start` upwards that has a portion, searched breadth first and by name within a level;
+        the nearest group of all where none has one."""
+        level, seen, nearest = [start], {start}, None
         for _ in range(mapping.nesting + 1):
-            found = sorted((named[g][0], g) for g in level if g in named)
-            first = first or (found[0][1] if found else None)
+            found = sorted((group_facts[g][0], g) for g in level if g in group_facts)
+            nearest = nearest or (found[0][1] if found else None)
             for _, g in found:
-                if named[g][1] is not None:
+                if group_facts[g][1] is not None:
                     return g
             above = [p for g in level for p in parents.get(g, ())]
-            if any(p in seen and p in named for p in above):
-                looped.update(p for p in above if p in seen)
+            if any(p in seen and p in group_facts for p in above):
+                in_cycle.update(p for p in above if p in seen)
             level = [p for p in dict.fromkeys(above) if p not in seen]
             seen.update(level)
             if not level:
                 break
-        return first
+        return nearest
 
-    members, owner, clashed, cache = {}, {}, set(), {}
+    members, dn_by_id, duplicates, effective = {}, {}, set(), {}
     for uuid, (dn, attrs) in sorted(tenants.items()):
         try:
-            ident, key = word(attrs, mapping.ident, "a tenant"), plain_dn(dn)
-            own, quota = number(attrs, mapping.portion, 1.0), number(attrs, mapping.quota, 1e9)
+            tenant_id, key = single_text(attrs, mapping.tenant_id, "a tenant"), normalized_dn(dn)
+            own_portion, quota = (
+                optional_number(attrs, mapping.portion, 1.0),
+                optional_number(attrs, mapping.quota, 1e9),
+            )
             above = list(parents.get(key, ()))
             if mapping.member_of:
-                above += [plain_dn(raw) for raw in attrs.get(mapping.member_of, ())]
-        except (ValueError, UnicodeDecodeError) as trouble:
-            troubles.append((shown(dn), reason(trouble)))
+                above += [normalized_dn(raw) for raw in attrs.get(mapping.member_of, ())]
+        except (ValueError, UnicodeDecodeError) as error:
+            errors.append((printable_dn(dn), reason(error)))
             continue
-        if ident in owner:
-            # Two that claim one id: neither serves, as either could be the one who must not.
-            clashed.add(ident)
-            troubles.append((shown(dn), f"id '{ident}' is claimed by {shown(owner[ident])} too"))
+        if tenant_id in dn_by_id:
+            # Two entries with one id: neither is served, as either may be the one that must not be.
+            duplicates.add(tenant_id)
+            errors.append(
+                (printable_dn(dn), f"id '{tenant_id}' is claimed by {printable_dn(dn_by_id[tenant_id])} too")
+            )
             continue
-        owner[ident] = dn
+        dn_by_id[tenant_id] = dn
         best = None
         for start in dict.fromkeys(above):
-            if start not in cache:
-                cache[start] = find(start)
-            g = cache[start]
+            if start not in effective:
+                effective[start] = effective_group(start)
+            g = effective[start]
             if g and (
-                best is None or (named[g][1] is None, named[g][0]) < (named[best][1] is None, named[best][0])
+                best is None
+                or (group_facts[g][1] is None, group_facts[g][0])
+                < (group_facts[best][1] is None, group_facts[best][0])
             ):
                 best = g
-        name, portion, shared = named[best] if best else (NONE, None, None)
+        name, portion, group_quota = group_facts[best] if best else (NO_GROUP, None, None)
         portions.setdefault(name, portion)
-        if portions[name] is None and own is not None:
-            portions[name] = own
-        members[ident] = name, quota if quota is not None else shared if shared is not None else 0.0
-    for ident in clashed:
-        members.pop(ident, None)
-        troubles.append((shown(owner[ident]), f"id '{ident}' is claimed by another too"))
-    for key in sorted(looped):
-        troubles.append((key, "is a group within itself"))
+        if portions[name] is None and own_portion is not None:
+            portions[name] = own_portion
+        members[tenant_id] = (
+            name,
+            quota if quota is not None else group_quota if group_quota is not None else 0.0,
+        )
+    for tenant_id in duplicates:
+        members.pop(tenant_id, None)
+        errors.append(
+            (printable_dn(dn_by_id[tenant_id]), f"id '{tenant_id}' is claimed by another entry too")
+        )
+    for key in sorted(in_cycle):
+        errors.append((key, "is a group within itself"))
     used = {group for group, _ in members.values()}
-    # A group without a portion is not capped: it counts as all of the service.
+    # A group without a portion is not capped: its portion is the whole service.
     return View(
         view_number,
         members,
         {g: portions[g] if portions[g] is not None else 1.0 for g in sorted(used)},
-        troubles,
+        errors,
     )
 
 
-def shown(dn):
+def printable_dn(dn):
+    """The first 200 characters of a DN, for logs."""
     return dn.decode("utf-8", "backslashreplace")[:200]
 
 
-def reason(trouble):
-    return "is not UTF-8" if isinstance(trouble, UnicodeDecodeError) else str(trouble)
+def reason(error):
+    return "is not UTF-8" if isinstance(error, UnicodeDecodeError) else str(error)
 
 
 class Holder:
-    """The view that is in force, and one that is held back. `offer` puts a new one in force, or holds it."""
+    """The view in force and, where there is one, a view that is held until an operator accepts it. `confirmed` is when
+    the directory last confirmed the view in force, in ms."""
 
-    def __init__(self, most_gone=0.2, least=5):
-        self.most_gone, self.least, self.view, self.held, self.confirmed, self.next = (
+    def __init__(self, most_gone=0.2, min_removed=5):
+        """A view is held when it removes at least `min_removed` tenants and more than the share `most_gone` of them."""
+        self.most_gone, self.min_removed, self.view, self.held, self.confirmed, self.next = (
             most_gone,
-            least,
+            min_removed,
             None,
             None,
             None,
@@ -193,41 +219,46 @@
         )
 
     def offer(self, now, view, accepted=0):
-        """'same', 'new' or 'held'. `accepted` is the number of a held view that an operator has accepted."""
+        """Puts `view` in force or holds it. Returns 'same', 'new' or 'held'. `accepted` is the number of the held view
+        that an operator has accepted, 0 for none."""
         if view.same(self.view):
             self.confirmed, self.held = now, None
             self.view.troubles = view.troubles
             return "same"
         if self.view is not None:
-            gone = len(self.view.members.keys() - view.members.keys())
-            if gone >= self.least and gone > self.most_gone * len(self.view.members):
+            removed = len(self.view.members.keys() - view.members.keys())
+            if removed >= self.min_removed and removed > self.most_gone * len(self.view.members):
                 if not view.same(self.held):
-                    view.number = self.number()
+                    view.number = self.take_number()
                     self.held = view
                 if accepted != self.held.number:
                     return "held"
                 view = self.held
         elif not view.members and not accepted:
-            # The first answer ever is empty: as good as none.
+            # An empty first answer is treated as no answer.
             return "held"
         self.view, self.held, self.confirmed = view, None, now
-        view.number = self.number()
+        view.number = self.take_number()
         return "new"
 
-    def number(self):
+    def take_number(self):
+        """The next view number; each is given to one view."""
         self.next += 1
         return self.next - 1
 
 
 class Slots:
-    """Group names to small whole numbers for the decisions: a number stays with its name for as long as it is used, and
-    one that is free again is given out last, so that what was counted under it has long gone."""
+    """Assigns small whole numbers to group names for the decision module. A name keeps its number while it is in use.
+    Numbers that are free again are reused in the order in which they became free, so that counts taken under the former
+    name have expired by then."""
 
     def __init__(self, most=4096):
+        """At most `most` numbers are assigned."""
         self.most, self.of, self.names, self.free = most, {}, [], []
 
     def take(self, groups):
-        """[(portion, 0.0)] by number for a view's groups; names past `most` share the last number."""
+        """Assigns numbers to the groups of a view, {name: portion}. Returns ((portion, 0.0), ...) by number. Names past
+        `most` share the last number."""
         for name in [n for n in self.of if n not in groups]:
             self.free.append(self.of.pop(name))
         for name in groups:
@@ -240,5 +271,5 @@
                     self.names[self.of[name]] = name
                 else:
                     self.of[name] = self.most - 1
-        by_number = {n: groups[name] for name, n in self.of.items()}
-        return tuple((by_number.get(n, 0.0), 0.0) for n in range(len(self.names)))
+        portion_by_number = {n: groups[name] for name, n in self.of.items()}
+        return tuple((portion_by_number.get(n, 0.0), 0.0) for n in range(len(self.names)))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -171,7 +171,7 @@
         (entry("uid=x,dc=x"), "0 values"),
         (entry("uid=x,dc=x", uid=["x", "y"]), "2 values"),
         (entry("uid=x,dc=x", uid=b"\xff"), "UTF-8"),
-        (entry("uid=x,dc=x", uid="x", portion="much"), "is no number"),
+        (entry("uid=x,dc=x", uid="x", portion="much"), "is not a number"),
         (entry("uid=x,dc=x", uid="x", portion="nan"), "outside"),
         (entry("uid=x,dc=x", uid="x", portion="7"), "outside 0 to 1"),
         (entry("uid=x,dc=x", uid="x\ny"), "line end"),
