--- a/gannetfront/tenants/filters.py
+++ b/gannetfront/tenants/filters.py
@@ -1,6 +1,6 @@
 """LDAP filters: from their text form (RFC 4515) to messages, and matched against an entry. No I/O.
 
-Recursion is limited to half of `messages.DEPTH`, as a filter must not be nested deeper than the codec accepts.
+Recursion is bounded: no filter nests deeper than `messages.DEPTH` allows.
 """
 
 from .messages import DEPTH, Filter
@@ -104,8 +104,8 @@
 
 
 def matches(filter, attrs):
-    """Whether an entry matches. `filter` is a decoded Filter, `attrs` {name in lower case: [value bytes]}. Values are
-    compared without regard to the case of ASCII letters."""
+    """Whether an entry matches. `filter` is a decoded Filter, `attrs` {name in lower case: [value bytes]}.
+    Values are compared without regard to the case of ASCII letters."""
     kind, value = filter.name, filter.chosen
     if kind in ("and", "or"):
         return (all if kind == "and" else any)(matches(f, attrs) for f in value)
--- a/gannetfront/tenants/kept.py
+++ b/gannetfront/tenants/kept.py
@@ -22,7 +22,8 @@
 
 
 def parts(view, epoch, age, base=None):
-    """Yields the TenantView messages of the whole view, or of its changes against the view `base`. `age` in ms."""
+    """Yields the TenantView messages of the whole view, or of its changes against the view `base`. `age` in
+    ms."""
     before = base.members if base else {}
     changed = [(i, g, q) for i, (g, q) in sorted(view.members.items()) if before.get(i) != (g, q)]
     members = [Member(id=i, group=g, quota=q) for i, g, q in changed]
@@ -42,8 +43,8 @@
 
 
 def pack(view, epoch, age):
-    """The whole view as the bytes of a file: magic, checksum, message. The checksum tells a torn file from a whole one.
-    `age` in ms."""
+    """The whole view as the bytes of a file: magic, checksum, message. The checksum tells a torn file from a
+    whole one. `age` in ms."""
     data = TenantView(
         number=view.number,
         **wired(epoch),
@@ -77,8 +78,8 @@
 
 
 class Publisher:
-    """The last views of an epoch, encoded for proxies. Frames are packed once and reused for all proxies that hold the
-    same view."""
+    """The last views of an epoch, encoded for proxies. Frames are packed once and reused for all proxies that
+    hold the same view."""
 
     def __init__(self, epoch, history):
         """`history` is how many views are remembered: a proxy that holds one of them is sent changes only."""
@@ -90,8 +91,8 @@
         self.packed = {}
 
     def frames_for(self, epoch, number, age):
-        """Frames for a proxy that holds view `number` of `epoch`: none when it is the newest, changes when that view is
-        remembered, else the whole view. `age` in ms."""
+        """Frames for a proxy that holds view `number` of `epoch`: none when it is the newest, changes when
+        that view is remembered, else the whole view. `age` in ms."""
         if not self.views:
             return []
         last = self.views[-1]
@@ -111,9 +112,9 @@
         self.epoch, self.number, self.members, self.groups, self.parts = 0, 0, None, {}, []
 
     def take(self, message):
-        """Takes a TenantView. Returns a dict (members, groups, age) when the view is complete, None while messages of
-        it are missing. Raises ValueError for a view that is older than the copy, or for changes that do not follow from
-        it: the caller must then request the whole view."""
+        """Takes a TenantView. Returns a dict (members, groups, age) when the view is complete, None while
+        messages of it are missing. Raises ValueError for a view that is older than the copy, or for changes
+        that do not follow from it: the caller must then request the whole view."""
         epoch = epoch_in(message)
         if (epoch, message.number) < (self.epoch, self.number):
             raise ValueError(
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -1,4 +1,7 @@
-"""gannet-tenants on sockets: one reader of the directory, many proxies served with numbered views."""
+"""The reader of the directory: keeps a session with it and serves numbered views to many proxies.
+
+It runs as the program gannet-tenants, or inside a proxy that holds the duty `tenants`.
+"""
 
 import ssl
 
@@ -9,49 +12,65 @@
 from .directory import Ended, Known, Session
 from .views import Holder, Mapping, build
 
-AGE_EVERY = 1000.0
+AGE_INTERVAL = 1000.0  # ms without a view to send after which a proxy is sent the age of its view
 
 
-def mapping(d):
-    return Mapping(d.id, d.portion, d.quota, d.member_of, d.member, d.group_id, d.nesting)
+def attribute_mapping(settings):
+    """The Mapping that the settings of a directory describe."""
+    return Mapping(
+        settings.id,
+        settings.portion,
+        settings.quota,
+        settings.member_of,
+        settings.member,
+        settings.group_id,
+        settings.nesting,
+    )
 
 
-def asked(d):
-    """What a session asks for: {kind: (base, filter, attributes)}."""
-    common = [a for a in (d.portion, d.quota, d.member_of) if a] + ["entryUUID", "modifyTimestamp"]
-    out = {"tenants": (d.tenants_base, d.tenants_filter, [d.id, *common])}
-    if d.groups_base:
+def searches_of(settings):
+    """The searches of a session: {kind: (base DN, filter text, attribute names)}."""
+    common = [a for a in (settings.portion, settings.quota, settings.member_of) if a] + [
+        "entryUUID",
+        "modifyTimestamp",
+    ]
+    out = {"tenants": (settings.tenants_base, settings.tenants_filter, [settings.id, *common])}
+    if settings.groups_base:
         out["groups"] = (
-            d.groups_base,
-            d.groups_filter,
-            [d.group_id, *([d.member] if d.member else []), *common],
+            settings.groups_base,
+            settings.groups_filter,
+            [settings.group_id, *([settings.member] if settings.member else []), *common],
         )
     return out
 
 
-def context(d):
-    """The TLS context of the settings; raises OSError for files that cannot be read."""
-    made = ssl.create_default_context(cafile=d.ca_file or None)
-    if d.cert_file:
-        made.load_cert_chain(d.cert_file)
-    return made
+def tls_context(settings):
+    """The TLS context for the directory; raises OSError for certificate files that cannot be read."""
+    result = ssl.create_default_context(cafile=settings.ca_file or None)
+    if settings.cert_file:
+        result.load_cert_chain(settings.cert_file)
+    return result
 
 
-def connected(d, password, known, may_go_back):
-    """(stream, session) after TLS and with the bind sent; raises Refused, OSError, Timeout or Ended."""
-    stream = host.connect(d.address, d.answer_limit)
-    session = Session(known, asked(d), d.bind_name, password, d.sync, d.page, may_go_back)
+def open_session(settings, password, known, allow_older):
+    """Connects to the directory. Returns (stream, session) with TLS established and the bind request sent;
+    raises host.Refused, OSError, host.Timeout or Ended. `known` holds the entries read before. `allow_older`
+    accepts entries that are older than those."""
+    stream = host.connect(settings.address, settings.answer_limit)
+    session = Session(
+        known, searches_of(settings), settings.bind_name, password, settings.sync, settings.page, allow_older
+    )
     try:
-        if d.security == "starttls":
-            stream.send(session.start_tls(), d.answer_limit)
+        if settings.security == "starttls":
+            stream.send(session.start_tls(), settings.answer_limit)
             reader = m.MessageReader()
             found = []
             while not found:
-                data = stream.recv(4096, d.answer_limit)
+                data = stream.recv(4096, settings.answer_limit)
                 if not data:
                     raise Ended("disconnected", "during StartTLS")
                 found = reader.feed(data)
-            # Bytes behind the answer were sent before TLS stood: they could be anyone's.
+            # Bytes after the answer arrived before TLS was established, so anyone could have inserted them.
             if (
                 found[0][1] != "extended_done"
                 or found[0][2]["code"] != "success"
@@ -59,10 +78,14 @@
                 or reader.held
             ):
                 raise Ended("StartTLS refused", str((found[0][2] or {}).get("code")))
-        if d.security != "none":
-            stream = host.Secured(stream, context(d), d.name_in_certificate or d.address.rpartition(":")[0])
-            stream.handshake(d.answer_limit)
-        stream.send(session.begin(d.external), d.answer_limit)
+        if settings.security != "none":
+            stream = host.Secured(
+                stream,
+                tls_context(settings),
+                settings.name_in_certificate or settings.address.rpartition(":")[0],
+            )
+            stream.handshake(settings.answer_limit)
+        stream.send(session.begin(settings.external), settings.answer_limit)
         return stream, session
     except BaseException:
         stream.close()
@@ -70,23 +93,32 @@
 
 
 class Reader:
-    def __init__(self, d, log, chance, most_links=8192, term=None):
-        """`term` is (epoch, the view held so far or None) where a duty gives it out: then nothing is kept on disk, and no view is
-        handed on before the directory has confirmed it: what this one held so far may be older than what others hold."""
-        self.d, self.log, self.chance, self.most_links = d, log, chance, most_links
-        self.known, self.holder, self.links = Known(), Holder(d.most_gone), set()
-        self.password = (host.read_file(d.password_file) or b"").decode().strip() if d.password_file else ""
+    """Keeps the view of tenants up to date from the directory and serves it to proxies."""
+
+    def __init__(self, settings, log, random, max_connections=8192, term=None):
+        """`settings` is a checked Directory; `random.random()` spreads the retries. `term` is (epoch, the
+        view that this proxy has or None) where the reader runs under a duty. Then nothing is written to disk,
+        and no view is served before the directory has confirmed it: this proxy's view may be older than those
+        of other proxies. Without `term` the last view is read from `state_file` and served at once."""
+        self.settings, self.log, self.random, self.max_connections = settings, log, random, max_connections
+        self.known, self.holder, self.links = Known(), Holder(settings.most_gone), set()
+        self.password = (
+            (host.read_file(settings.password_file) or b"").decode().strip() if settings.password_file else ""
+        )
         self.state, self.operations, self.file, self.ahead = "starting", 0, None, lambda epoch, number: None
         if term:
-            self.publisher = kept.Publisher(term[0], d.history)
+            self.publisher = kept.Publisher(term[0], settings.history)
             if term[1]:
                 self.holder.view, self.holder.next = term[1], term[1].number + 1
             return
-        stored = kept.unpack(host.read_file(d.state_file))
+        stored = kept.unpack(host.read_file(settings.state_file))
         epoch = max(int(host.wall()) << kept.LIFE, stored[1] + 1 if stored else 0)
-        self.publisher = kept.Publisher(epoch, d.history)
+        self.publisher = kept.Publisher(epoch, settings.history)
         self.file = KeptFile(
-            d.state_file, lambda: kept.pack(self.holder.view, self.publisher.epoch, self.age()), "view", log
+            settings.state_file,
+            lambda: kept.pack(self.holder.view, self.publisher.epoch, self.age()),
+            "view",
+            log,
         )
         if stored:
             view, _, age = stored
@@ -98,57 +130,67 @@
             self.publisher.publish(view)
 
     def age(self):
+        """ms since the directory last confirmed the view in force; 1e15 if it never did."""
         return host.now() - self.holder.confirmed if self.holder.confirmed is not None else 1e15
 
     # ---- the directory ----
 
     def run(self):
+        """Greenlet: keeps a session with the directory and reconnects after each failure, after a randomized
+        delay that grows to 1 s at most (before the random factor of 0.5 to 1.5)."""
         wait = 100.0
         while True:
-            begun = host.now()
+            started = host.now()
             try:
-                self.session()
-            except host.Refused as trouble:
-                self.say("directory unreachable", why=trouble.kind)
+                self.run_session()
+            except host.Refused as error:
+                self.log_failure("directory unreachable", why=error.kind)
             except host.Timeout:
-                self.say("directory silent", for_ms=self.d.answer_limit)
-            except Ended as trouble:
-                self.say("directory refuses", why=str(trouble))
-            except m.BadMessage as trouble:
-                self.say("directory sent garbage", why=str(trouble))
-            except OSError as trouble:
-                self.say("directory broke", why=str(trouble)[:200])
-            self.state = "away"
-            wait = 100.0 if host.now() - begun > 5000 else min(1000.0, 1.6 * wait)
-            host.sleep(wait * (0.5 + self.chance.random()))
-
-    def say(self, event, **facts):
-        self.log.warning(event, view=self.holder.view.number if self.holder.view else None, **facts)
-
-    def session(self):
-        d, looks, due = self.d, 0, None
-        stream, session = connected(d, self.password, self.known, self.accepted() != 0)
+                self.log_failure("directory silent", for_ms=self.settings.answer_limit)
+            except Ended as error:
+                self.log_failure("directory refuses", why=str(error))
+            except m.BadMessage as error:
+                self.log_failure("directory sent garbage", why=str(error))
+            except OSError as error:
+                self.log_failure("directory broke", why=str(error)[:200])
+            self.state = "disconnected"
+            wait = 100.0 if host.now() - started > 5000 else min(1000.0, 1.6 * wait)
+            host.sleep(wait * (0.5 + self.random.random()))
+
+    def log_failure(self, event, **fields):
+        self.log.warning(event, view=self.holder.view.number if self.holder.view else None, **fields)
+
+    def run_session(self):
+        """One session with the directory, until it fails; raises as `open_session` does, or
+        messages.BadMessage."""
+        settings, polls, next_poll = self.settings, 0, None
+        stream, session = open_session(settings, self.password, self.known, self.accepted_number() != 0)
         try:
             self.operations += 1
             while True:
-                if session.confirmed and not session.busy() and due is None:
-                    due = host.now() + d.poll_every
-                # One that persists may say nothing for long; a look of ours is answered or ends in time.
-                limit = d.answer_limit if session.busy() and not (d.sync and session.confirmed) else None
-                if due is not None:
-                    limit = max(1.0, due - host.now())
+                if session.confirmed and not session.busy() and next_poll is None:
+                    next_poll = host.now() + settings.poll_every
+                # A directory that persists a synchronization may send nothing for long. A poll is
+                # answered within the limit or fails.
+                limit = (
+                    settings.answer_limit
+                    if session.busy() and not (settings.sync and session.confirmed)
+                    else None
+                )
+                if next_poll is not None:
+                    limit = max(1.0, next_poll - host.now())
                 elif limit is None:
-                    limit = d.poll_every
+                    limit = settings.poll_every
                 try:
                     data = stream.recv(65536, limit)
                 except host.Timeout:
-                    if due is not None:
-                        looks, due = looks + 1, None
+                    if next_poll is not None:
+                        polls, next_poll = polls + 1, None
                         self.operations += 2
-                        stream.send(session.sweep(looks % d.sweep_every == 0), d.answer_limit)
+                        stream.send(session.sweep(polls % settings.sweep_every == 0), settings.answer_limit)
                         session.confirmed = False
-                    elif d.sync and session.confirmed:
-                        self.holder.confirmed = host.now()  # it holds the stream open and has nothing new
+                    elif settings.sync and session.confirmed:
+                        self.holder.confirmed = host.now()  # the stream is open and nothing changed
                     else:
                         raise
                     continue
@@ -156,34 +198,36 @@
                     raise Ended("disconnected")
                 out = session.feed(data)
                 if out:
-                    stream.send(out, d.answer_limit)
+                    stream.send(out, settings.answer_limit)
                 if session.confirmed:
-                    if session.changed or self.state != "here":
+                    if session.changed or self.state != "connected":
                         session.changed = False
-                        self.take()
+                        self.update_view()
                     self.holder.confirmed = host.now() if self.holder.held is None else self.holder.confirmed
         finally:
             stream.close()
 
-    def accepted(self):
-        """The number of a held view that an operator has accepted; 0: none."""
+    def accepted_number(self):
+        """The number of the held view that an operator has accepted, from the file `STATE_FILE.accept`; 0 for
+        none."""
         text = (
-            (host.Apart(host.read_file, self.d.state_file + ".accept").wait() or b"0")
+            (host.Apart(host.read_file, self.settings.state_file + ".accept").wait() or b"0")
             .decode("ascii", "replace")
             .strip()
         )
         return int(text) if text.isdigit() else 0
 
-    def take(self):
-        accepted = (
-            self.accepted()
-        )  # waits for a disk: from here on nothing does, so that no other view comes between
+    def update_view(self):
+        """Builds a view of the entries known now and publishes it, unless it is unchanged or held."""
+        # Waits for the disk. Nothing after it waits, so that no other view can be built in between.
+        accepted = self.accepted_number()
         entries = self.known.entries
-        view = build(mapping(self.d), entries["tenants"], entries["groups"], 0)
+        view = build(attribute_mapping(self.settings), entries["tenants"], entries["groups"], 0)
         verdict = self.holder.offer(host.now(), view, accepted)
-        self.state = "here"
+        self.state = "connected"
         if verdict == "same" and not self.publisher.views:
-            self.give_out()  # confirmed for the first time in this term: proxies hear of it under its epoch
+            # Confirmed for the first time under this epoch: proxies are sent it with that epoch.
+            self.publish_view()
         if verdict == "held":
             self.log.error(
                 "view held",
@@ -201,45 +245,52 @@
             )
             for dn, why in view.troubles[:20]:
                 self.log.warning("entry quarantined", dn=dn, why=why)
-            self.give_out()
+            self.publish_view()
 
-    def give_out(self):
+    def publish_view(self):
+        """Sends the view in force to all connected proxies and has it written to disk."""
         self.publisher.publish(self.holder.view)
         if self.file:
             self.file.changed()
-        for link in list(self.links):
-            self.give(link)
+        for connection in list(self.links):
+            self.send_view(connection)
 
     def watch(self):
-        """Looks whether a held view has been accepted."""
+        """Greenlet: checks whether an operator has accepted the held view, and puts it in force then."""
         while True:
-            host.sleep(AGE_EVERY / 2)
-            if self.holder.held and self.accepted() == self.holder.held.number:
-                self.take()
+            host.sleep(AGE_INTERVAL / 2)
+            if self.holder.held and self.accepted_number() == self.holder.held.number:
+                self.update_view()
 
     # ---- proxies ----
 
     def start(self):
-        self.listener = host.Listener(self.d.listen)
+        """Listens for proxies and starts the greenlets of a standalone reader; raises OSError or
+        ValueError."""
+        self.listener = host.Listener(self.settings.listen)
         self.greenlets = [host.spawn(call) for call in (self.run, self.watch, self.file.run)]
-        self.greenlets.append(host.spawn(host.serve, self.listener, self.handle, self.log, self.most_links))
+        self.greenlets.append(
+            host.spawn(host.serve, self.listener, self.handle, self.log, self.max_connections)
+        )
         self.log.info(
             "serving", at=self.listener.where, view=self.holder.view.number if self.holder.view else 0
         )
 
-    def give(self, link):
+    def send_view(self, connection):
+        """Queues what a proxy needs to reach the newest view; closes its stream when the queue is full."""
         if self.publisher.views:
             view = self.publisher.views[-1]
-            for data in self.publisher.frames_for(*link.held, self.age()):
-                if not link.out.put(data):
-                    link.stream.close()
+            for data in self.publisher.frames_for(*connection.view_id, self.age()):
+                if not connection.out.put(data):
+                    connection.stream.close()
                     return
-            link.held = self.publisher.epoch, view.number
+            connection.view_id = self.publisher.epoch, view.number
 
     def handle(self, stream, reader=None, hello=None):
-        """One proxy; `hello` is its first word, where another has read it already."""
-        link, reader = Link(stream), reader or frames.FrameReader(1 << 16)
-        writer, first = host.spawn(self.write, link), [("hello", hello)] if hello else []
+        """Serves one proxy until it disconnects. `hello` is its first message where the caller has already
+        read it."""
+        connection, reader = Connection(stream), reader or frames.FrameReader(1 << 16)
+        writer, first = host.spawn(self.write, connection), [("hello", hello)] if hello else []
         try:
             while True:
                 data = first or stream.recv(4096, 10000)
@@ -248,56 +299,65 @@
                 found, first = first or reader.feed(data), []
                 for name, message in found:
                     if name == "hello":
-                        link.held = kept.epoch_in(message), message.revision
-                        self.ahead(*link.held)
-                        self.links.add(link)
-                        self.give(link)
+                        connection.view_id = kept.epoch_in(message), message.revision
+                        self.ahead(*connection.view_id)
+                        self.links.add(connection)
+                        self.send_view(connection)
                     elif name == "ask":
-                        link.held = 0, 0
-                        self.give(link)
-        except (OSError, host.Timeout, frames.BadFrame) as trouble:
-            self.log.info("proxy link broke", why=str(trouble) or "silent")
+                        connection.view_id = 0, 0
+                        self.send_view(connection)
+        except (OSError, host.Timeout, frames.BadFrame) as error:
+            self.log.info("proxy connection lost", why=str(error) or "time-out")
         finally:
-            self.links.discard(link)
+            self.links.discard(connection)
             host.stop(writer)
             stream.close()
 
-    def write(self, link):
+    def write(self, connection):
+        """Greenlet: sends a proxy its queued frames and, while there are none, the age of its view."""
         try:
             while True:
-                data = link.out.take(AGE_EVERY)
+                data = connection.out.take(AGE_INTERVAL)
                 if data is None:
                     data = (
                         frames.pack(
                             tenants_age=c.TenantAge(
-                                number=link.held[1], **kept.wired(link.held[0]), age=self.age()
+                                number=connection.view_id[1],
+                                **kept.wired(connection.view_id[0]),
+                                age=self.age(),
                             )
                         )
                         if self.publisher.views
                         else frames.pack(alive=c.Alive())
                     )
-                link.stream.send(data, 10000)
+                connection.stream.send(data, 10000)
         except (OSError, host.Timeout):
-            link.stream.close()
+            connection.stream.close()
+
 
+class Connection:
+    """A connected proxy: its stream, its queue of frames, and (epoch, number) of the view that it has
+    once the queue is sent."""
 
-class Link:
     def __init__(self, stream):
-        self.stream, self.out, self.held = stream, host.Mailbox(256), (0, 0)
+        self.stream, self.out, self.view_id = stream, host.Mailbox(256), (0, 0)
 
 
-def check(d, password):
-    """(View, referrals) of a fresh read, for `gannet-tenants check`; raises as `connected` does."""
+def check(settings, password):
+    """(View, referrals) of one complete read of the directory, for `gannet-tenants check`; raises as
+    `open_session` does, or messages.BadMessage."""
     known = Known()
-    stream, session = connected(d, password, known, False)
+    stream, session = open_session(settings, password, known, False)
     try:
         while not session.confirmed:
-            data = stream.recv(65536, d.answer_limit)
+            data = stream.recv(65536, settings.answer_limit)
             if not data:
                 raise Ended("disconnected")
             out = session.feed(data)
             if out:
-                stream.send(out, d.answer_limit)
+                stream.send(out, settings.answer_limit)
     finally:
         stream.close()
-    return build(mapping(d), known.entries["tenants"], known.entries["groups"], 0), session.referrals
+    return build(
+        attribute_mapping(settings), known.entries["tenants"], known.entries["groups"], 0
+    ), session.referrals
--- a/gannetfront/tenants/tenancy.py
+++ b/gannetfront/tenants/tenancy.py
@@ -1,9 +1,9 @@
 """Admission of invocations by tenant: whether to admit, by which view, and as which group. No I/O.
 
-The age of a view is the time since the directory last confirmed it. While the view is fresh, it alone decides. An older
-view still serves every tenant that it contains, but a tenant that is missing from it may be new, so that invocation is
-refused for now rather than for good. Past one age limit, side-effecting operations, where a wrong admission cannot be
-undone, are refused for now; past another, all invocations are.
+The age of a view is the time since the directory last confirmed it. While the view is fresh, it alone
+decides. An older view still serves every tenant that it contains, but a tenant that is missing from it may be
+new, so that invocation is refused for now rather than for good. Past one age limit, side-effecting
+operations, where a wrong admission cannot be undone, are refused for now; past another, all invocations are.
 """
 
 from ..interface import SIDE_EFFECTING
@@ -16,8 +16,8 @@
     """Decides on admission by the view in force. Times and ages in ms."""
 
     def __init__(self, effects, fresh_age, side_effecting_age_limit, serving_age_limit):
-        """`effects` are the effects of operations by operation index. A view no older than `fresh_age` ms may declare
-        a tenant unknown. The age limits are in ms; 0 for no limit."""
+        """`effects` are the effects of operations by operation index. A view no older than `fresh_age` ms may
+        declare a tenant unknown. The age limits are in ms; 0 for no limit."""
         self.side_effecting = [effect == SIDE_EFFECTING for effect in effects]
         self.fresh_age, self.side_effecting_age_limit, self.serving_age_limit = (
             fresh_age,
@@ -27,9 +27,9 @@
         self.members, self.confirmed, self.number, self.group_numbers = None, -1e18, (0, 0), {}
 
     def swap(self, number, members, group_numbers, confirmed):
-        """Replaces the whole view; False, without a change, for a view older than the one in force. `number` is (epoch,
-        view number), `members` {tenant: (group, quota)}, `group_numbers` {group: number}; `confirmed` is the time, in
-        ms, when the directory confirmed the view."""
+        """Replaces the whole view; False, without a change, for a view older than the one in force. `number`
+        is (epoch, view number), `members` {tenant: (group, quota)}, `group_numbers` {group: number};
+        `confirmed` is the time, in ms, when the directory confirmed the view."""
         if number < self.number:
             return False
         self.number, self.members, self.group_numbers, self.confirmed = (
@@ -46,8 +46,8 @@
             self.confirmed = max(self.confirmed, at)
 
     def admit(self, now, tenant_id, operation):
-        """(verdict, group number). An admitted invocation keeps that group number to its end, even when the view
-        changes meanwhile."""
+        """(verdict, group number). An admitted invocation keeps that group number to its end, even when the
+        view changes meanwhile."""
         if self.members is None:
             return LATER, 0
         age, member = now - self.confirmed, self.members.get(tenant_id)
--- a/gannetfront/tenants/views.py
+++ b/gannetfront/tenants/views.py
@@ -1,8 +1,8 @@
 """Builds numbered views of tenants and groups from directory entries. No I/O.
 
-A view is built as a whole from all known entries, and carries a number. An entry that cannot be used is quarantined and
-reported; the others are served. A view that would remove more than a set share of the tenants is held until an operator
-accepts it, so that a wrong filter does not refuse every tenant.
+A view is built as a whole from all known entries, and carries a number. An entry that cannot be used is
+quarantined and reported; the others are served. A view that would remove more than a set share of the tenants
+is held until an operator accepts it, so that a wrong filter does not refuse every tenant.
 """
 
 from math import isfinite
@@ -11,9 +11,9 @@
 
 
 class Mapping:
-    """Which attributes hold what; their names are compared in lower case. `portion` and `quota` are read from the
-    group's entry, and from the tenant's where the group has none; `nesting` limits how many levels of groups within
-    groups are followed. An empty name means that the attribute is not used."""
+    """Which attributes hold what; their names are compared in lower case. `portion` and `quota` are read from
+    the group's entry, and from the tenant's where the group has none; `nesting` limits how many levels of
+    groups within groups are followed. An empty name means that the attribute is not used."""
 
     def __init__(self, tenant_id, portion="", quota="", member_of="", member="", group_id="cn", nesting=8):
         self.tenant_id, self.portion, self.quota = tenant_id.lower(), portion.lower(), quota.lower()
@@ -26,8 +26,8 @@
 
 
 class View:
-    """A numbered view: `members` {tenant: (group name, quota in invocations a second)}, `groups` {name: portion} and
-    `troubles` [(dn, reason)] of the quarantined entries."""
+    """A numbered view: `members` {tenant: (group name, quota in invocations a second)}, `groups` {name:
+    portion} and `troubles` [(dn, reason)] of the quarantined entries."""
 
     __slots__ = "number", "members", "groups", "troubles"
 
@@ -40,8 +40,8 @@
 
 
 def normalized_dn(raw):
-    """A DN in a form that can be compared: lower case, without blanks around its separators. An escaped comma is part
-    of a value."""
+    """A DN in a form that can be compared: lower case, without blanks around its separators. An escaped comma
+    is part of a value."""
     text = raw.decode("utf-8")
     parts, part, escaped = [], "", False
     for char in text:
@@ -58,8 +58,8 @@
 
 
 def single_text(attrs, name, owner):
-    """The only value of an attribute as text; raises ValueError with the reason where there is none or it cannot be
-    used. `owner` names what needs the value, for that reason."""
+    """The only value of an attribute as text; raises ValueError with the reason where there is none or it
+    cannot be used. `owner` names what needs the value, for that reason."""
     values = attrs.get(name, [])
     if len(values) != 1:
         raise ValueError(f"{name} has {len(values)} values, {owner} needs one")
@@ -80,8 +80,8 @@
 
 
 def optional_number(attrs, name, maximum):
-    """The value of an attribute as a number, None where the attribute is unused or absent; raises ValueError where it is
-    not a number or outside 0 to `maximum`."""
+    """The value of an attribute as a number, None where the attribute is unused or absent; raises ValueError
+    where it is not a number or outside 0 to `maximum`."""
     if not name or name not in attrs:
         return None
     text = single_text(attrs, name, "a figure")
@@ -95,8 +95,8 @@
 
 
 def build(mapping, tenants, groups, view_number):
-    """The View of directory entries. `tenants` and `groups` are {uuid: (dn bytes, attrs)}. Raises nothing for a bad
-    entry: it is quarantined with its reason."""
+    """The View of directory entries. `tenants` and `groups` are {uuid: (dn bytes, attrs)}. Raises nothing for
+    a bad entry: it is quarantined with its reason."""
     errors, group_facts, parents, portions = [], {}, {}, {}
     for uuid, (dn, attrs) in sorted(groups.items()):
         try:
@@ -118,8 +118,8 @@
     in_cycle = set()
 
     def effective_group(start):
-        """The nearest group from `start` upwards that has a portion, searched breadth first and by name within a level;
-        the nearest group of all where none has one."""
+        """The nearest group from `start` upwards that has a portion, searched breadth first and by name
+        within a level; the nearest group of all where none has one."""
         level, seen, nearest = [start], {start}, None
         for _ in range(mapping.nesting + 1):
             found = sorted((group_facts[g][0], g) for g in level if g in group_facts)
@@ -204,11 +204,12 @@
 
 
 class Holder:
-    """The view in force and, where there is one, a view that is held until an operator accepts it. `confirmed` is when
-    the directory last confirmed the view in force, in ms."""
+    """The view in force and, where there is one, a view that is held until an operator accepts it.
+    `confirmed` is when the directory last confirmed the view in force, in ms."""
 
     def __init__(self, most_gone=0.2, min_removed=5):
-        """A view is held when it removes at least `min_removed` tenants and more than the share `most_gone` of them."""
+        """A view is held when it removes at least `min_removed` tenants and more than the share `most_gone`
+        of them."""
         self.most_gone, self.min_removed, self.view, self.held, self.confirmed, self.next = (
             most_gone,
             min_removed,
@@ -219,8 +220,8 @@
         )
 
     def offer(self, now, view, accepted=0):
-        """Puts `view` in force or holds it. Returns 'same', 'new' or 'held'. `accepted` is the number of the held view
-        that an operator has accepted, 0 for none."""
+        """Puts `view` in force or holds it. Returns 'same', 'new' or 'held'. `accepted` is the number of the
+        held view that an operator has accepted, 0 for none."""
         if view.same(self.view):
             self.confirmed, self.held = now, None
             self.view.troubles = view.troubles
@@ -248,17 +249,17 @@
 
 
 class Slots:
-    """Assigns small whole numbers to group names for the decision module. A name keeps its number while it is in use.
-    Numbers that are free again are reused in the order in which they became free, so that counts taken under the former
-    name have expired by then."""
+    """Assigns small whole numbers to group names for the decision module. A name keeps its number while it is
+    in use. Numbers that are free again are reused in the order in which they became free, so that counts
+    taken under the former name have expired by then."""
 
     def __init__(self, most=4096):
         """At most `most` numbers are assigned."""
         self.most, self.of, self.names, self.free = most, {}, [], []
 
     def take(self, groups):
-        """Assigns numbers to the groups of a view, {name: portion}. Returns ((portion, 0.0), ...) by number. Names past
-        `most` share the last number."""
+        """Assigns numbers to the groups of a view, {name: portion}. Returns ((portion, 0.0), ...) by number.
+        Names past `most` share the last number."""
         for name in [n for n in self.of if n not in groups]:
             self.free.append(self.of.pop(name))
         for name in groups:
