--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -54,7 +54,7 @@
 
 
 def proxy(one):
-    stream, reader, held = host.connect(one.listener.where, 5000), frames.FrameReader(), kept.Held()
+    stream, reader, held = host.connect(one.listener.where, 5000), frames.FrameReader(), kept.ViewCopy()
     stream.send(frames.pack(hello=c.Hello(role=c.PROXY, id="1")), 5000)
     return stream, reader, held
 
--- a/gannetfront/duties/tokens.py
+++ b/gannetfront/duties/tokens.py
@@ -4,16 +4,20 @@
 had won before, and its views then differ from those it gave out under that round earlier.
 """
 
-from ..tenants.kept import LIFE
+from ..tenants.kept import LIFE_BITS
 
 PROXY_BITS = 16  # bits of a proxy's number
 
 
 def epoch_of(token):
     """The epoch, one integer, of a token (round, number, life)."""
-    return (token[0] << PROXY_BITS | token[1]) << LIFE | token[2]
+    return (token[0] << PROXY_BITS | token[1]) << LIFE_BITS | token[2]
 
 
 def token_of(epoch):
     """The token (round, number, life) of an epoch."""
-    return epoch >> PROXY_BITS + LIFE, epoch >> LIFE & (1 << PROXY_BITS) - 1, epoch & (1 << LIFE) - 1
+    return (
+        epoch >> PROXY_BITS + LIFE_BITS,
+        epoch >> LIFE_BITS & (1 << PROXY_BITS) - 1,
+        epoch & (1 << LIFE_BITS) - 1,
+    )
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -44,7 +44,7 @@
         """Views come from `at`: a reader of its own, or, with `duty`, whoever holds that among the proxies."""
         super().__init__(at, log, chance, "tenants")
         self.duty, self.acted = duty, lambda token, step, how, why: None
-        self.me, self.tell, self.held, self.slots = mine.me, tell, kept.Held(), Slots()
+        self.me, self.tell, self.held, self.slots = mine.me, tell, kept.ViewCopy(), Slots()
         self.file = KeptFile(mine.tenants_file, self.pack, "view", log)
         self.tenancy = Tenancy(
             [o.effect for o in facts.operations], mine.tenants_fresh, mine.tenants_costly, mine.tenants_serve
@@ -94,7 +94,7 @@
             id=str(self.me),
             revision=self.held.number,
             duty=self.duty,
-            **kept.wired(self.held.epoch),
+            **kept.epoch_fields(self.held.epoch),
         )
 
     def on_refusal(self, message):
@@ -106,7 +106,7 @@
             whole = self.held.take(told)
         except ValueError as trouble:
             self.log.warning("view not taken", why=str(trouble))
-            epoch = kept.epoch_in(told)
+            epoch = kept.epoch_of_message(told)
             self.acted(
                 token_of(epoch), told.number, "refused", "older" if epoch < self.held.epoch else "order"
             )
@@ -126,4 +126,4 @@
             )
 
     def on_tenants_age(self, told):
-        self.tenancy.confirm((kept.epoch_in(told), told.number), host.now() - told.age)
+        self.tenancy.confirm((kept.epoch_of_message(told), told.number), host.now() - told.age)
--- a/gannetfront/tenants/kept.py
+++ b/gannetfront/tenants/kept.py
@@ -8,20 +8,20 @@
 
 # The first bytes of a view file; the most tenants in one TenantView message.
 MAGIC, MEMBERS_PER_MESSAGE = b"gannet-tenants-1\n", 20000
-LIFE = 31  # low bits of an epoch: the life (incarnation) of the process that issues its views
+LIFE_BITS = 31  # low bits of an epoch: the life (incarnation) of the process that issues its views
 
 
-def wired(epoch):
+def epoch_fields(epoch):
     """An epoch as the fields of a message."""
-    return dict(epoch=epoch >> LIFE, life=epoch & (1 << LIFE) - 1)
+    return dict(epoch=epoch >> LIFE_BITS, life=epoch & (1 << LIFE_BITS) - 1)
 
 
-def epoch_in(message):
+def epoch_of_message(message):
     """The epoch that the fields of `message` hold."""
-    return message.epoch << LIFE | message.life
+    return message.epoch << LIFE_BITS | message.life
 
 
-def parts(view, epoch, age, base=None):
+def view_messages(view, epoch, age, base=None):
     """Yields the TenantView messages of the whole view, or of its changes against the view `base`. `age` in
     ms."""
     before = base.members if base else {}
@@ -33,7 +33,7 @@
         last = start + MEMBERS_PER_MESSAGE >= len(members)
         yield TenantView(
             number=view.number,
-            **wired(epoch),
+            **epoch_fields(epoch),
             base=base.number if base else 0,
             members=members[start : start + MEMBERS_PER_MESSAGE],
             groups=groups if last else [],
@@ -47,7 +47,7 @@
     whole one. `age` in ms."""
     data = TenantView(
         number=view.number,
-        **wired(epoch),
+        **epoch_fields(epoch),
         base=0,
         last=True,
         age=age,
@@ -72,7 +72,7 @@
             {g.name: g.portion for g in message.groups},
             [],
         ),
-        epoch_in(message),
+        epoch_of_message(message),
         message.age,
     )
 
@@ -101,39 +101,42 @@
         base = next((v for v in self.views if epoch == self.epoch and v.number == number), None)
         key = base.number if base else 0
         if key not in self.packed:
-            self.packed[key] = [frames.pack(tenants=p) for p in parts(last, self.epoch, age, base)]
+            self.packed[key] = [frames.pack(tenants=p) for p in view_messages(last, self.epoch, age, base)]
         return self.packed[key]
 
 
-class Held:
+class ViewCopy:
     """A proxy's copy of the view: takes messages and replaces the copy once a view is complete."""
 
     def __init__(self):
-        self.epoch, self.number, self.members, self.groups, self.parts = 0, 0, None, {}, []
+        self.epoch, self.number, self.members, self.groups, self.received = 0, 0, None, {}, []
 
     def take(self, message):
         """Takes a TenantView. Returns a dict (members, groups, age) when the view is complete, None while
         messages of it are missing. Raises ValueError for a view that is older than the copy, or for changes
         that do not follow from it: the caller must then request the whole view."""
-        epoch = epoch_in(message)
+        epoch = epoch_of_message(message)
         if (epoch, message.number) < (self.epoch, self.number):
             raise ValueError(
                 f"view {epoch}.{message.number} is older than the current one, {self.epoch}.{self.number}"
             )
         if message.base and (epoch, message.base) != (self.epoch, self.number):
             raise ValueError(f"changes on view {message.base}, but view {self.number} is current")
-        if self.parts and (epoch_in(self.parts[0]), self.parts[0].number) != (epoch, message.number):
-            self.parts = []
-        self.parts.append(message)
+        if self.received and (epoch_of_message(self.received[0]), self.received[0].number) != (
+            epoch,
+            message.number,
+        ):
+            self.received = []
+        self.received.append(message)
         if not message.last:
             return None
         members = dict(self.members or {}) if message.base else {}
-        for part in self.parts:
+        for part in self.received:
             for m in part.members:
                 if m.gone:
                     members.pop(m.id, None)
                 else:
                     members[m.id] = m.group, m.quota
-        self.parts, self.members, self.groups = [], members, {g.name: g.portion for g in message.groups}
+        self.received, self.members, self.groups = [], members, {g.name: g.portion for g in message.groups}
         self.epoch, self.number = epoch, message.number
         return dict(members=members, groups=self.groups, age=message.age)
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -112,7 +112,7 @@
                 self.holder.view, self.holder.next = term[1], term[1].number + 1
             return
         stored = kept.unpack(host.read_file(settings.state_file))
-        epoch = max(int(host.wall()) << kept.LIFE, stored[1] + 1 if stored else 0)
+        epoch = max(int(host.wall()) << kept.LIFE_BITS, stored[1] + 1 if stored else 0)
         self.publisher = kept.Publisher(epoch, settings.history)
         self.file = KeptFile(
             settings.state_file,
@@ -299,7 +299,7 @@
                 found, first = first or reader.feed(data), []
                 for name, message in found:
                     if name == "hello":
-                        connection.view_id = kept.epoch_in(message), message.revision
+                        connection.view_id = kept.epoch_of_message(message), message.revision
                         self.ahead(*connection.view_id)
                         self.links.add(connection)
                         self.send_view(connection)
@@ -323,7 +323,7 @@
                         frames.pack(
                             tenants_age=c.TenantAge(
                                 number=connection.view_id[1],
-                                **kept.wired(connection.view_id[0]),
+                                **kept.epoch_fields(connection.view_id[0]),
                                 age=self.age(),
                             )
                         )
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -196,7 +196,9 @@
     greenlet = host.spawn(link.file.run)
 
     def take(number):
-        return link.on_tenants(next(kept.parts(View(number, {"t": ("g", 0.0)}, {"g": 1.0}, []), 5, 0.0)))
+        return link.on_tenants(
+            next(kept.view_messages(View(number, {"t": ("g", 0.0)}, {"g": 1.0}, []), 5, 0.0))
+        )
 
     take(1)
     gate.error = 28
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -171,15 +171,15 @@
     had won before, and then gives out other views of the same number."""
     for a, b in ((one, other), ((5, number, 1), (5, number, 2))):
         assert token_of(epoch_of(a)) == a and (epoch_of(a) < epoch_of(b)) == (a < b)
-    held = kept.Held()
+    held = kept.ViewCopy()
     for life, member in ((1, "before"), (2, "after")):
         data = kept.pack(View(4, {member: ("g", 0.0)}, {"g": 1.0}, []), epoch_of((5, number, life)), 0.0)
         assert kept.unpack(data)[1] == epoch_of((5, number, life))
-        for told in kept.parts(kept.unpack(data)[0], kept.unpack(data)[1], 0.0):
+        for told in kept.view_messages(kept.unpack(data)[0], kept.unpack(data)[1], 0.0):
             held.take(told)
     assert list(held.members) == ["after"]
     with pytest.raises(ValueError, match="older"):
-        held.take(next(kept.parts(View(9, {}, {}, []), epoch_of((5, number, 1)), 0.0)))
+        held.take(next(kept.view_messages(View(9, {}, {}, []), epoch_of((5, number, 1)), 0.0)))
 
 
 def act(at, place="0", token=(1, 1, 1), step=1, duty="seal", how="done"):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -274,7 +274,7 @@
 @SMALL
 @given(st.lists(IDS, min_size=1, max_size=6), st.integers(0, 5), st.integers(1, 3))
 def test_changes_and_wholes_lead_to_the_same_view(steps, start, history):
-    pub, held = kept.Publisher(7, history), kept.Held()
+    pub, held = kept.Publisher(7, history), kept.ViewCopy()
     for n, members in enumerate(steps, 1):
         pub.publish(View(n, members, {g: 0.5 for g, _ in members.values()}, []))
         if n >= start:
@@ -288,14 +288,14 @@
 
 
 def test_older_views_and_gaps_are_refused():
-    held = kept.Held()
-    for told in kept.parts(plain(5, "ab"), 2, 0.0):
+    held = kept.ViewCopy()
+    for told in kept.view_messages(plain(5, "ab"), 2, 0.0):
         held.take(told)
     for number, epoch in ((4, 2), (9, 1)):
         with pytest.raises(ValueError, match="older"):
-            held.take(next(kept.parts(plain(number, "a"), epoch, 0.0)))
+            held.take(next(kept.view_messages(plain(number, "a"), epoch, 0.0)))
     with pytest.raises(ValueError, match="changes on view 6"):
-        held.take(next(kept.parts(plain(7, "a"), 2, 0.0, base=plain(6, "ab"))))
+        held.take(next(kept.view_messages(plain(7, "a"), 2, 0.0, base=plain(6, "ab"))))
 
 
 def test_torn_view_file_is_none():
@@ -659,7 +659,11 @@
     got = []
 
     def proxy():
-        stream, reader, held = host.connect(p.reader.listener.where, 5000), frames.FrameReader(), kept.Held()
+        stream, reader, held = (
+            host.connect(p.reader.listener.where, 5000),
+            frames.FrameReader(),
+            kept.ViewCopy(),
+        )
         stream.send(frames.pack(hello=c.Hello(role=c.PROXY, id="1")), 5000)
         while held.members is None:
             for name, told in reader.feed(stream.recv(65536, 5000)):
