--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -48,7 +48,7 @@
     )
     begun = host.now()
     one.start()
-    while not one.holder.view:
+    while not one.guard.view:
         host.sleep(2)
     return one, host.now() - begun
 
--- a/gannetfront/cli/tenants.py
+++ b/gannetfront/cli/tenants.py
@@ -66,11 +66,11 @@
         click.echo(
             f"  {name}: portion {portion:g}, {sum(g == name for g, _ in view.members.values())} tenants"
         )
-    for dn, why in view.troubles:
+    for dn, why in view.errors:
         click.echo(f"quarantined {dn}: {why}")
     for url in referrals:
         click.echo(f"referral not followed: {url}")
-    raise SystemExit(1 if view.troubles else 0)
+    raise SystemExit(1 if view.errors else 0)
 
 
 @main.command()
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -5,7 +5,7 @@
 from ..keptfile import KeptFile
 from ..tenants import kept
 from ..tenants.tenancy import ADMIT, UNKNOWN, Tenancy
-from ..tenants.views import Slots, View
+from ..tenants.views import GroupNumbers, View
 from ..wire import control_pb2 as c, frames
 from .links import StreamLink
 
@@ -44,7 +44,7 @@
         """Views come from `at`: a reader of its own, or, with `duty`, whoever holds that among the proxies."""
         super().__init__(at, log, chance, "tenants")
         self.duty, self.acted = duty, lambda token, step, how, why: None
-        self.me, self.tell, self.held, self.slots = mine.me, tell, kept.ViewCopy(), Slots()
+        self.me, self.tell, self.held, self.slots = mine.me, tell, kept.ViewCopy(), GroupNumbers()
         self.file = KeptFile(mine.tenants_file, self.pack, "view", log)
         self.tenancy = Tenancy(
             [o.effect for o in facts.operations], mine.tenants_fresh, mine.tenants_costly, mine.tenants_serve
@@ -67,9 +67,9 @@
 
     def swap(self, age):
         held = self.held
-        self.portions = self.slots.take(held.groups)
+        self.portions = self.slots.assign(held.groups)
         # Epochs first: a reader that lost its numbers must not look older than it is.
-        self.tenancy.swap((held.epoch, held.number), held.members, dict(self.slots.of), host.now() - age)
+        self.tenancy.swap((held.epoch, held.number), held.members, dict(self.slots.by_name), host.now() - age)
         self.refill()
 
     def refill(self):
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -10,7 +10,7 @@
 from ..wire import control_pb2 as c, frames
 from . import kept, messages as m
 from .directory import Ended, Known, Session
-from .views import Holder, Mapping, build
+from .views import DeletionGuard, Mapping, build
 
 AGE_INTERVAL = 1000.0  # ms without a view to send after which a proxy is sent the age of its view
 
@@ -101,7 +101,7 @@
         and no view is served before the directory has confirmed it: this proxy's view may be older than those
         of other proxies. Without `term` the last view is read from `state_file` and served at once."""
         self.settings, self.log, self.random, self.max_connections = settings, log, random, max_connections
-        self.known, self.holder, self.links = Known(), Holder(settings.most_gone), set()
+        self.known, self.guard, self.links = Known(), DeletionGuard(settings.most_gone), set()
         self.password = (
             (host.read_file(settings.password_file) or b"").decode().strip() if settings.password_file else ""
         )
@@ -109,20 +109,20 @@
         if term:
             self.publisher = kept.Publisher(term[0], settings.history)
             if term[1]:
-                self.holder.view, self.holder.next = term[1], term[1].number + 1
+                self.guard.view, self.guard.next_number = term[1], term[1].number + 1
             return
         stored = kept.unpack(host.read_file(settings.state_file))
         epoch = max(int(host.wall()) << kept.LIFE_BITS, stored[1] + 1 if stored else 0)
         self.publisher = kept.Publisher(epoch, settings.history)
         self.file = KeptFile(
             settings.state_file,
-            lambda: kept.pack(self.holder.view, self.publisher.epoch, self.age()),
+            lambda: kept.pack(self.guard.view, self.publisher.epoch, self.age()),
             "view",
             log,
         )
         if stored:
             view, _, age = stored
-            self.holder.view, self.holder.confirmed, self.holder.next = (
+            self.guard.view, self.guard.confirmed, self.guard.next_number = (
                 view,
                 host.now() - age,
                 view.number + 1,
@@ -131,7 +131,7 @@
 
     def age(self):
         """ms since the directory last confirmed the view in force; 1e15 if it never did."""
-        return host.now() - self.holder.confirmed if self.holder.confirmed is not None else 1e15
+        return host.now() - self.guard.confirmed if self.guard.confirmed is not None else 1e15
 
     # ---- the directory ----
 
@@ -158,7 +158,7 @@
             host.sleep(wait * (0.5 + self.random.random()))
 
     def log_failure(self, event, **fields):
-        self.log.warning(event, view=self.holder.view.number if self.holder.view else None, **fields)
+        self.log.warning(event, view=self.guard.view.number if self.guard.view else None, **fields)
 
     def run_session(self):
         """One session with the directory, until it fails; raises as `open_session` does, or
@@ -190,7 +190,7 @@
                         stream.send(session.sweep(polls % settings.sweep_every == 0), settings.answer_limit)
                         session.confirmed = False
                     elif settings.sync and session.confirmed:
-                        self.holder.confirmed = host.now()  # the stream is open and nothing changed
+                        self.guard.confirmed = host.now()  # the stream is open and nothing changed
                     else:
                         raise
                     continue
@@ -203,7 +203,7 @@
                     if session.changed or self.state != "connected":
                         session.changed = False
                         self.update_view()
-                    self.holder.confirmed = host.now() if self.holder.held is None else self.holder.confirmed
+                    self.guard.confirmed = host.now() if self.guard.held is None else self.guard.confirmed
         finally:
             stream.close()
 
@@ -223,7 +223,7 @@
         accepted = self.accepted_number()
         entries = self.known.entries
         view = build(attribute_mapping(self.settings), entries["tenants"], entries["groups"], 0)
-        verdict = self.holder.offer(host.now(), view, accepted)
+        verdict = self.guard.offer(host.now(), view, accepted)
         self.state = "connected"
         if verdict == "same" and not self.publisher.views:
             # Confirmed for the first time under this epoch: proxies are sent it with that epoch.
@@ -231,9 +231,9 @@
         if verdict == "held":
             self.log.error(
                 "view held",
-                number=self.holder.held.number if self.holder.held else 0,
+                number=self.guard.held.number if self.guard.held else 0,
                 tenants=len(view.members),
-                before=len(self.holder.view.members) if self.holder.view else 0,
+                before=len(self.guard.view.members) if self.guard.view else 0,
             )
         elif verdict == "new":
             self.log.info(
@@ -241,15 +241,15 @@
                 number=view.number,
                 tenants=len(view.members),
                 groups=len(view.groups),
-                quarantined=len(view.troubles),
+                quarantined=len(view.errors),
             )
-            for dn, why in view.troubles[:20]:
+            for dn, why in view.errors[:20]:
                 self.log.warning("entry quarantined", dn=dn, why=why)
             self.publish_view()
 
     def publish_view(self):
         """Sends the view in force to all connected proxies and has it written to disk."""
-        self.publisher.publish(self.holder.view)
+        self.publisher.publish(self.guard.view)
         if self.file:
             self.file.changed()
         for connection in list(self.links):
@@ -259,7 +259,7 @@
         """Greenlet: checks whether an operator has accepted the held view, and puts it in force then."""
         while True:
             host.sleep(AGE_INTERVAL / 2)
-            if self.holder.held and self.accepted_number() == self.holder.held.number:
+            if self.guard.held and self.accepted_number() == self.guard.held.number:
                 self.update_view()
 
     # ---- proxies ----
@@ -273,7 +273,7 @@
             host.spawn(host.serve, self.listener, self.handle, self.log, self.max_connections)
         )
         self.log.info(
-            "serving", at=self.listener.where, view=self.holder.view.number if self.holder.view else 0
+            "serving", at=self.listener.where, view=self.guard.view.number if self.guard.view else 0
         )
 
     def send_view(self, connection):
--- a/gannetfront/tenants/views.py
+++ b/gannetfront/tenants/views.py
@@ -27,14 +27,14 @@
 
 class View:
     """A numbered view: `members` {tenant: (group name, quota in invocations a second)}, `groups` {name:
-    portion} and `troubles` [(dn, reason)] of the quarantined entries."""
+    portion} and `errors` [(dn, reason)] of the quarantined entries."""
 
-    __slots__ = "number", "members", "groups", "troubles"
+    __slots__ = "number", "members", "groups", "errors"
 
-    def __init__(self, number, members, groups, troubles):
-        self.number, self.members, self.groups, self.troubles = number, members, groups, troubles
+    def __init__(self, number, members, groups, errors):
+        self.number, self.members, self.groups, self.errors = number, members, groups, errors
 
-    def same(self, other):
+    def same_content(self, other):
         """Whether `other` is a view with the same tenants and groups, whatever its number."""
         return other is not None and (self.members, self.groups) == (other.members, other.groups)
 
@@ -203,15 +203,15 @@
     return "is not UTF-8" if isinstance(error, UnicodeDecodeError) else str(error)
 
 
-class Holder:
+class DeletionGuard:
     """The view in force and, where there is one, a view that is held until an operator accepts it.
     `confirmed` is when the directory last confirmed the view in force, in ms."""
 
-    def __init__(self, most_gone=0.2, min_removed=5):
-        """A view is held when it removes at least `min_removed` tenants and more than the share `most_gone`
-        of them."""
-        self.most_gone, self.min_removed, self.view, self.held, self.confirmed, self.next = (
-            most_gone,
+    def __init__(self, max_removed_share=0.2, min_removed=5):
+        """A view is held when it removes at least `min_removed` tenants and more than the share
+        `max_removed_share` of them."""
+        self.max_removed_share, self.min_removed, self.view, self.held, self.confirmed, self.next_number = (
+            max_removed_share,
             min_removed,
             None,
             None,
@@ -222,14 +222,14 @@
     def offer(self, now, view, accepted=0):
         """Puts `view` in force or holds it. Returns 'same', 'new' or 'held'. `accepted` is the number of the
         held view that an operator has accepted, 0 for none."""
-        if view.same(self.view):
+        if view.same_content(self.view):
             self.confirmed, self.held = now, None
-            self.view.troubles = view.troubles
+            self.view.errors = view.errors
             return "same"
         if self.view is not None:
             removed = len(self.view.members.keys() - view.members.keys())
-            if removed >= self.min_removed and removed > self.most_gone * len(self.view.members):
-                if not view.same(self.held):
+            if removed >= self.min_removed and removed > self.max_removed_share * len(self.view.members):
+                if not view.same_content(self.held):
                     view.number = self.take_number()
                     self.held = view
                 if accepted != self.held.number:
@@ -244,33 +244,33 @@
 
     def take_number(self):
         """The next view number; each is given to one view."""
-        self.next += 1
-        return self.next - 1
+        self.next_number += 1
+        return self.next_number - 1
 
 
-class Slots:
+class GroupNumbers:
     """Assigns small whole numbers to group names for the decision module. A name keeps its number while it is
     in use. Numbers that are free again are reused in the order in which they became free, so that counts
     taken under the former name have expired by then."""
 
-    def __init__(self, most=4096):
-        """At most `most` numbers are assigned."""
-        self.most, self.of, self.names, self.free = most, {}, [], []
+    def __init__(self, maximum=4096):
+        """At most `maximum` numbers are assigned."""
+        self.maximum, self.by_name, self.names, self.free = maximum, {}, [], []
 
-    def take(self, groups):
+    def assign(self, groups):
         """Assigns numbers to the groups of a view, {name: portion}. Returns ((portion, 0.0), ...) by number.
-        Names past `most` share the last number."""
-        for name in [n for n in self.of if n not in groups]:
-            self.free.append(self.of.pop(name))
+        Names past `maximum` share the last number."""
+        for name in [n for n in self.by_name if n not in groups]:
+            self.free.append(self.by_name.pop(name))
         for name in groups:
-            if name not in self.of:
-                if len(self.names) < self.most:
-                    self.of[name] = len(self.names)
+            if name not in self.by_name:
+                if len(self.names) < self.maximum:
+                    self.by_name[name] = len(self.names)
                     self.names.append(name)
                 elif self.free:
-                    self.of[name] = self.free.pop(0)
-                    self.names[self.of[name]] = name
+                    self.by_name[name] = self.free.pop(0)
+                    self.names[self.by_name[name]] = name
                 else:
-                    self.of[name] = self.most - 1
-        portion_by_number = {n: groups[name] for name, n in self.of.items()}
+                    self.by_name[name] = self.maximum - 1
+        portion_by_number = {n: groups[name] for name, n in self.by_name.items()}
         return tuple((portion_by_number.get(n, 0.0), 0.0) for n in range(len(self.names)))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -16,7 +16,7 @@
 from gannetfront.tenants import filters, kept, messages as m
 from gannetfront.tenants.reader import Reader, check
 from gannetfront.tenants.tenancy import ADMIT, LATER, UNKNOWN, Tenancy
-from gannetfront.tenants.views import Holder, Mapping, Slots, View, build
+from gannetfront.tenants.views import DeletionGuard, Mapping, GroupNumbers, View, build
 from rig import Log, Node, Rig, ok
 
 SMALL = settings(max_examples=80, deadline=None, derandomize=True)
@@ -156,13 +156,13 @@
         ],
     )
     assert v.members == {"a": ("k", 0.0), "b": ("k", 0.0), "c": ("k", 0.0), "d": ("-", 0.0)}
-    assert v.groups == {"-": 1.0, "k": 0.5} and not v.troubles
+    assert v.groups == {"-": 1.0, "k": 0.5} and not v.errors
 
 
 def test_a_loop_of_three_groups_ends_and_is_named():
     ring = [entry(f"cn={a},dc=x", cn=a, memberOf=f"cn={b},dc=x") for a, b in ("ab", "bc", "ca")]
     v = view([entry("uid=t,dc=x", uid="t", memberOf="cn=a,dc=x")], ring)
-    assert v.members["t"][0] == "a" and any("within itself" in why for _, why in v.troubles)
+    assert v.members["t"][0] == "a" and any("within itself" in why for _, why in v.errors)
 
 
 @pytest.mark.parametrize(
@@ -181,12 +181,12 @@
 )
 def test_bad_entries_are_quarantined_and_the_rest_serve(bad, why):
     v = view([bad, entry("uid=good,dc=x", uid="good")])
-    assert list(v.members) == ["good"] and len(v.troubles) == 1 and why in v.troubles[0][1]
+    assert list(v.members) == ["good"] and len(v.errors) == 1 and why in v.errors[0][1]
 
 
 def test_two_that_claim_one_id_serve_neither():
     v = view([entry("uid=a,ou=1", uid="a"), entry("uid=a,ou=2", uid="a"), entry("uid=b,ou=1", uid="b")])
-    assert list(v.members) == ["b"] and len(v.troubles) == 2
+    assert list(v.members) == ["b"] and len(v.errors) == 2
 
 
 def test_dn_with_escaped_commas_and_blanks():
@@ -204,7 +204,7 @@
             for n in range(50000)
         ]
     )
-    assert len(v.members) == 49500 and len(v.troubles) == 500
+    assert len(v.members) == 49500 and len(v.errors) == 500
 
 
 def plain(number, ids):
@@ -212,32 +212,35 @@
 
 
 def test_mass_deletion_is_held_until_accepted():
-    holder = Holder()
-    assert holder.offer(0, plain(0, "abcdefghij")) == "new"
-    assert holder.offer(1, plain(0, "")) == "held" and len(holder.view.members) == 10
-    held = holder.held.number
-    assert holder.offer(2, plain(0, "")) == "held" and holder.held.number == held
-    assert holder.offer(3, plain(0, ""), accepted=held) == "new" and not holder.view.members
-    assert holder.offer(4, plain(0, "abc")) == "new"
+    guard = DeletionGuard()
+    assert guard.offer(0, plain(0, "abcdefghij")) == "new"
+    assert guard.offer(1, plain(0, "")) == "held" and len(guard.view.members) == 10
+    held = guard.held.number
+    assert guard.offer(2, plain(0, "")) == "held" and guard.held.number == held
+    assert guard.offer(3, plain(0, ""), accepted=held) == "new" and not guard.view.members
+    assert guard.offer(4, plain(0, "abc")) == "new"
 
 
 def test_small_losses_and_a_wrong_turn_taken_back_are_not_held():
-    holder = Holder()
-    holder.offer(0, plain(0, "abcdefghij"))
-    assert holder.offer(1, plain(0, "abcdefghi")) == "new" and holder.offer(2, plain(0, "")) == "held"
-    assert holder.offer(3, plain(0, "abcdefghi")) == "same" and holder.held is None
+    guard = DeletionGuard()
+    guard.offer(0, plain(0, "abcdefghij"))
+    assert guard.offer(1, plain(0, "abcdefghi")) == "new" and guard.offer(2, plain(0, "")) == "held"
+    assert guard.offer(3, plain(0, "abcdefghi")) == "same" and guard.held is None
 
 
 def test_first_answer_that_is_empty_is_no_view():
-    assert Holder().offer(0, plain(0, "")) == "held"
+    assert DeletionGuard().offer(0, plain(0, "")) == "held"
 
 
 def test_numbers_stay_with_their_groups():
-    slots = Slots(most=3)
-    assert slots.take({"a": 0.5, "b": 0.25}) == ((0.5, 0.0), (0.25, 0.0))
-    assert slots.take({"b": 0.25, "c": 0.1})[1:] == ((0.25, 0.0), (0.1, 0.0)) and slots.of == {"b": 1, "c": 2}
-    slots.take({"b": 0.2, "c": 0.1, "d": 0.3})
-    assert slots.of == {"b": 1, "c": 2, "d": 0}  # the one freed longest ago
+    numbers = GroupNumbers(maximum=3)
+    assert numbers.assign({"a": 0.5, "b": 0.25}) == ((0.5, 0.0), (0.25, 0.0))
+    assert numbers.assign({"b": 0.25, "c": 0.1})[1:] == ((0.25, 0.0), (0.1, 0.0)) and numbers.by_name == {
+        "b": 1,
+        "c": 2,
+    }
+    numbers.assign({"b": 0.2, "c": 0.1, "d": 0.3})
+    assert numbers.by_name == {"b": 1, "c": 2, "d": 0}  # the one freed longest ago
 
 
 def test_what_an_age_may_decide():
@@ -356,7 +359,7 @@
 
         @property
         def view(self):
-            return self.reader.holder.view
+            return self.reader.guard.view
 
         def until(self, true, limit=6000):
             end = host.now() + limit
@@ -432,7 +435,7 @@
     p.until(lambda: p.log.said("view held"))
     host.sleep(100)
     assert len(p.view.members) >= 15
-    host.replace_file(p.facts["state_file"] + ".accept", str(p.reader.holder.held.number).encode())
+    host.replace_file(p.facts["state_file"] + ".accept", str(p.reader.guard.held.number).encode())
     p.until(lambda: len(p.view.members) == 5)
 
 
