--- a/gannetfront/duties/tenants.py
+++ b/gannetfront/duties/tenants.py
@@ -51,8 +51,8 @@
                 self.log.warning("a later view is held by a proxy", theirs=other_epoch, ours=epoch)
                 held.shell.refused(self.name, (token_of(other_epoch)[0] + 1, 0, 0))
 
-        reader.ahead = on_later_view
-        greenlets = [host.spawn(reader.run), host.spawn(reader.watch)]
+        reader.on_proxy_view = on_later_view
+        greenlets = [host.spawn(reader.run), host.spawn(reader.poll_acceptance)]
         self.reader = reader
         try:
             while held.left() > 0:
@@ -61,7 +61,7 @@
             self.reader = None
             for greenlet in greenlets:
                 host.stop(greenlet)
-            for link in list(reader.links):
+            for link in list(reader.connections):
                 link.stream.close()
 
     def serve(self, stream, reader, hello):
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -93,7 +93,11 @@
 
 
 class Reader:
-    """Keeps the view of tenants up to date from the directory and serves it to proxies."""
+    """Keeps the view of tenants up to date from the directory and serves it to proxies.
+
+    `on_proxy_view(epoch, number)` is called with the view that each proxy reports when it connects; a duty
+    replaces it to learn of a later view than its own.
+    """
 
     def __init__(self, settings, log, random, max_connections=8192, term=None):
         """`settings` is a checked Directory; `random.random()` spreads the retries. `term` is (epoch, the
@@ -101,11 +105,16 @@
         and no view is served before the directory has confirmed it: this proxy's view may be older than those
         of other proxies. Without `term` the last view is read from `state_file` and served at once."""
         self.settings, self.log, self.random, self.max_connections = settings, log, random, max_connections
-        self.known, self.guard, self.links = Known(), DeletionGuard(settings.most_gone), set()
+        self.known, self.guard, self.connections = Known(), DeletionGuard(settings.most_gone), set()
         self.password = (
             (host.read_file(settings.password_file) or b"").decode().strip() if settings.password_file else ""
         )
-        self.state, self.operations, self.file, self.ahead = "starting", 0, None, lambda epoch, number: None
+        self.state, self.operations, self.file, self.on_proxy_view = (
+            "starting",
+            0,
+            None,
+            lambda epoch, number: None,
+        )
         if term:
             self.publisher = kept.Publisher(term[0], settings.history)
             if term[1]:
@@ -252,10 +261,10 @@
         self.publisher.publish(self.guard.view)
         if self.file:
             self.file.changed()
-        for connection in list(self.links):
+        for connection in list(self.connections):
             self.send_view(connection)
 
-    def watch(self):
+    def poll_acceptance(self):
         """Greenlet: checks whether an operator has accepted the held view, and puts it in force then."""
         while True:
             host.sleep(AGE_INTERVAL / 2)
@@ -268,7 +277,7 @@
         """Listens for proxies and starts the greenlets of a standalone reader; raises OSError or
         ValueError."""
         self.listener = host.Listener(self.settings.listen)
-        self.greenlets = [host.spawn(call) for call in (self.run, self.watch, self.file.run)]
+        self.greenlets = [host.spawn(call) for call in (self.run, self.poll_acceptance, self.file.run)]
         self.greenlets.append(
             host.spawn(host.serve, self.listener, self.handle, self.log, self.max_connections)
         )
@@ -300,8 +309,8 @@
                 for name, message in found:
                     if name == "hello":
                         connection.view_id = kept.epoch_of_message(message), message.revision
-                        self.ahead(*connection.view_id)
-                        self.links.add(connection)
+                        self.on_proxy_view(*connection.view_id)
+                        self.connections.add(connection)
                         self.send_view(connection)
                     elif name == "ask":
                         connection.view_id = 0, 0
@@ -309,7 +318,7 @@
         except (OSError, host.Timeout, frames.BadFrame) as error:
             self.log.info("proxy connection lost", why=str(error) or "time-out")
         finally:
-            self.links.discard(connection)
+            self.connections.discard(connection)
             host.stop(writer)
             stream.close()
 
