--- a/gannetfront/tenants/kept.py
+++ b/gannetfront/tenants/kept.py
@@ -7,7 +7,8 @@
 from .views import View
 
 # The first bytes of a view file; the most tenants in one TenantView message.
-MAGIC, MEMBERS_PER_MESSAGE = b"gannet-tenants-1\n", 20000
+MAGIC = b"gannet-tenants-1\n"
+MEMBERS_PER_MESSAGE = 20000
 LIFE_BITS = 31  # low bits of an epoch: the life (incarnation) of the process that issues its views
 
 
@@ -83,7 +84,10 @@
 
     def __init__(self, epoch, history):
         """`history` is how many views are remembered: a proxy that holds one of them is sent changes only."""
-        self.epoch, self.history, self.views, self.packed = epoch, history, [], {}
+        self.epoch = epoch
+        self.history = history
+        self.views = []
+        self.packed = {}
 
     def publish(self, view):
         """Makes `view` the newest one."""
@@ -109,7 +113,11 @@
     """A proxy's copy of the view: takes messages and replaces the copy once a view is complete."""
 
     def __init__(self):
-        self.epoch, self.number, self.members, self.groups, self.received = 0, 0, None, {}, []
+        self.epoch = 0
+        self.number = 0
+        self.members = None
+        self.groups = {}
+        self.received = []
 
     def take(self, message):
         """Takes a TenantView. Returns a dict (members, groups, age) when the view is complete, None while
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -104,21 +104,25 @@
         view that this proxy has or None) where the reader runs under a duty. Then nothing is written to disk,
         and no view is served before the directory has confirmed it: this proxy's view may be older than those
         of other proxies. Without `term` the last view is read from `state_file` and served at once."""
-        self.settings, self.log, self.random, self.max_connections = settings, log, random, max_connections
-        self.known, self.guard, self.connections = Known(), DeletionGuard(settings.most_gone), set()
+        self.settings = settings
+        self.log = log
+        self.random = random
+        self.max_connections = max_connections
+        self.known = Known()
+        self.guard = DeletionGuard(settings.most_gone)
+        self.connections = set()
         self.password = (
             (host.read_file(settings.password_file) or b"").decode().strip() if settings.password_file else ""
         )
-        self.state, self.operations, self.file, self.on_proxy_view = (
-            "starting",
-            0,
-            None,
-            lambda epoch, number: None,
-        )
+        self.state = "starting"
+        self.operations = 0
+        self.file = None
+        self.on_proxy_view = lambda epoch, number: None
         if term:
             self.publisher = kept.Publisher(term[0], settings.history)
             if term[1]:
-                self.guard.view, self.guard.next_number = term[1], term[1].number + 1
+                self.guard.view = term[1]
+                self.guard.next_number = term[1].number + 1
             return
         stored = kept.unpack(host.read_file(settings.state_file))
         epoch = max(int(host.wall()) << kept.LIFE_BITS, stored[1] + 1 if stored else 0)
@@ -131,11 +135,9 @@
         )
         if stored:
             view, _, age = stored
-            self.guard.view, self.guard.confirmed, self.guard.next_number = (
-                view,
-                host.now() - age,
-                view.number + 1,
-            )
+            self.guard.view = view
+            self.guard.confirmed = host.now() - age
+            self.guard.next_number = view.number + 1
             self.publisher.publish(view)
 
     def age(self):
@@ -349,7 +351,9 @@
     once the queue is sent."""
 
     def __init__(self, stream):
-        self.stream, self.out, self.view_id = stream, host.Mailbox(256), (0, 0)
+        self.stream = stream
+        self.out = host.Mailbox(256)
+        self.view_id = (0, 0)
 
 
 def check(settings, password):
--- a/gannetfront/tenants/tenancy.py
+++ b/gannetfront/tenants/tenancy.py
@@ -9,7 +9,9 @@
 from ..interface import SIDE_EFFECTING
 
 # Verdicts: admitted; refused because the tenant is unknown; refused for now, the client may retry.
-ADMIT, UNKNOWN, LATER = "admit", "unknown", "later"
+ADMIT = "admit"
+UNKNOWN = "unknown"
+LATER = "later"
 
 
 class Tenancy:
@@ -19,12 +21,13 @@
         """`effects` are the effects of operations by operation index. A view no older than `fresh_age` ms may
         declare a tenant unknown. The age limits are in ms; 0 for no limit."""
         self.side_effecting = [effect == SIDE_EFFECTING for effect in effects]
-        self.fresh_age, self.side_effecting_age_limit, self.serving_age_limit = (
-            fresh_age,
-            side_effecting_age_limit or 1e18,
-            serving_age_limit or 1e18,
-        )
-        self.members, self.confirmed, self.number, self.group_numbers = None, -1e18, (0, 0), {}
+        self.fresh_age = fresh_age
+        self.side_effecting_age_limit = side_effecting_age_limit or 1e18
+        self.serving_age_limit = serving_age_limit or 1e18
+        self.members = None
+        self.confirmed = -1e18
+        self.number = (0, 0)
+        self.group_numbers = {}
 
     def swap(self, number, members, group_numbers, confirmed):
         """Replaces the whole view; False, without a change, for a view older than the one in force. `number`
--- a/gannetfront/tenants/views.py
+++ b/gannetfront/tenants/views.py
@@ -16,13 +16,13 @@
     groups within groups are followed. An empty name means that the attribute is not used."""
 
     def __init__(self, tenant_id, portion="", quota="", member_of="", member="", group_id="cn", nesting=8):
-        self.tenant_id, self.portion, self.quota = tenant_id.lower(), portion.lower(), quota.lower()
-        self.member_of, self.member, self.group_id, self.nesting = (
-            member_of.lower(),
-            member.lower(),
-            group_id.lower(),
-            nesting,
-        )
+        self.tenant_id = tenant_id.lower()
+        self.portion = portion.lower()
+        self.quota = quota.lower()
+        self.member_of = member_of.lower()
+        self.member = member.lower()
+        self.group_id = group_id.lower()
+        self.nesting = nesting
 
 
 class View:
@@ -32,7 +32,10 @@
     __slots__ = "number", "members", "groups", "errors"
 
     def __init__(self, number, members, groups, errors):
-        self.number, self.members, self.groups, self.errors = number, members, groups, errors
+        self.number = number
+        self.members = members
+        self.groups = groups
+        self.errors = errors
 
     def same_content(self, other):
         """Whether `other` is a view with the same tenants and groups, whatever its number."""
@@ -210,14 +213,12 @@
     def __init__(self, max_removed_share=0.2, min_removed=5):
         """A view is held when it removes at least `min_removed` tenants and more than the share
         `max_removed_share` of them."""
-        self.max_removed_share, self.min_removed, self.view, self.held, self.confirmed, self.next_number = (
-            max_removed_share,
-            min_removed,
-            None,
-            None,
-            None,
-            1,
-        )
+        self.max_removed_share = max_removed_share
+        self.min_removed = min_removed
+        self.view = None
+        self.held = None
+        self.confirmed = None
+        self.next_number = 1
 
     def offer(self, now, view, accepted=0):
         """Puts `view` in force or holds it. Returns 'same', 'new' or 'held'. `accepted` is the number of the
@@ -255,7 +256,10 @@
 
     def __init__(self, maximum=4096):
         """At most `maximum` numbers are assigned."""
-        self.maximum, self.by_name, self.names, self.free = maximum, {}, [], []
+        self.maximum = maximum
+        self.by_name = {}
+        self.names = []
+        self.free = []
 
     def assign(self, groups):
         """Assigns numbers to the groups of a view, {name: portion}. Returns ((portion, 0.0), ...) by number.
