--- a/gannetfront/tenants/kept.py
+++ b/gannetfront/tenants/kept.py
@@ -6,9 +6,8 @@
 from ..wire.control_pb2 import Group, Member, TenantView
 from .views import View
 
-# The first bytes of a view file; the most tenants in one TenantView message.
-MAGIC = b"gannet-tenants-1\n"
-MEMBERS_PER_MESSAGE = 20000
+MAGIC = b"gannet-tenants-1\n"  # first bytes of a view file
+MEMBERS_PER_MESSAGE = 20000  # most tenants in one TenantView message
 LIFE_BITS = 31  # low bits of an epoch: the life (incarnation) of the process that issues its views
 
 
--- a/gannetfront/tenants/tenancy.py
+++ b/gannetfront/tenants/tenancy.py
@@ -8,10 +8,10 @@
 
 from ..interface import SIDE_EFFECTING
 
-# Verdicts: admitted; refused because the tenant is unknown; refused for now, the client may retry.
+# Verdicts on an invocation:
 ADMIT = "admit"
-UNKNOWN = "unknown"
-LATER = "later"
+UNKNOWN = "unknown"  # refused, there is no such tenant
+LATER = "later"  # refused for now, the client may retry
 
 
 class Tenancy:
