--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,5 @@
-"""Tenants from a directory: the codec, views, what a view's age may decide, and the reader against a directory that fails."""
+"""Tenants from a directory: the codec, views, admission by the age of a view, and the reader against a simulated
+directory that fails."""
 
 import datetime
 import ssl
@@ -58,10 +59,10 @@
 @SMALL
 @given(TEXT)
 def test_any_value_survives_a_filter(text):
-    made = m.Filter.load(filters.parse(f"(uid={filters.escaped(text)})").dump()) if text else None
-    if made is not None and made.name == "equal":
-        assert made.chosen["value"].native == text.encode()
-        assert filters.matches(made, {"uid": [text.encode()]})
+    parsed = m.Filter.load(filters.parse(f"(uid={filters.escaped(text)})").dump()) if text else None
+    if parsed is not None and parsed.name == "equal":
+        assert parsed.chosen["value"].native == text.encode()
+        assert filters.matches(parsed, {"uid": [text.encode()]})
 
 
 @pytest.mark.parametrize(
@@ -85,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, fits",
+    "text, expected",
     [
         ("(uid=ann)", True),
         ("(uid=ANN)", True),
@@ -98,8 +99,10 @@
         ("(uid=\\61nn)", True),
     ],
 )
-def test_filters_match(text, fits):
-    assert filters.matches(m.Filter.load(filters.parse(text).dump()), {"uid": [b"Ann"], "n": [b"3"]}) == fits
+def test_filters_match(text, expected):
+    assert (
+        filters.matches(m.Filter.load(filters.parse(text).dump()), {"uid": [b"Ann"], "n": [b"3"]}) == expected
+    )
 
 
 @pytest.mark.parametrize(
@@ -184,7 +187,7 @@
     assert list(v.members) == ["good"] and len(v.errors) == 1 and why in v.errors[0][1]
 
 
-def test_two_that_claim_one_id_serve_neither():
+def test_duplicate_ids_are_both_quarantined():
     v = view([entry("uid=a,ou=1", uid="a"), entry("uid=a,ou=2", uid="a"), entry("uid=b,ou=1", uid="b")])
     assert list(v.members) == ["b"] and len(v.errors) == 2
 
@@ -221,7 +224,7 @@
     assert guard.offer(4, plain(0, "abc")) == "new"
 
 
-def test_small_losses_and_a_wrong_turn_taken_back_are_not_held():
+def test_few_removals_are_not_held_and_a_reverted_mass_removal_ends_the_hold():
     guard = DeletionGuard()
     guard.offer(0, plain(0, "abcdefghij"))
     assert guard.offer(1, plain(0, "abcdefghi")) == "new" and guard.offer(2, plain(0, "")) == "held"
@@ -232,7 +235,7 @@
     assert DeletionGuard().offer(0, plain(0, "")) == "held"
 
 
-def test_numbers_stay_with_their_groups():
+def test_groups_keep_their_numbers():
     numbers = GroupNumbers(maximum=3)
     assert numbers.assign({"a": 0.5, "b": 0.25}) == ((0.5, 0.0), (0.25, 0.0))
     assert numbers.assign({"b": 0.25, "c": 0.1})[1:] == ((0.25, 0.0), (0.1, 0.0)) and numbers.by_name == {
@@ -240,10 +243,10 @@
         "c": 2,
     }
     numbers.assign({"b": 0.2, "c": 0.1, "d": 0.3})
-    assert numbers.by_name == {"b": 1, "c": 2, "d": 0}  # the one freed longest ago
+    assert numbers.by_name == {"b": 1, "c": 2, "d": 0}  # the number that was freed first is reused
 
 
-def test_what_an_age_may_decide():
+def test_verdicts_by_age_of_the_view():
     t = Tenancy([IDEMPOTENT, SIDE_EFFECTING], 100.0, 500.0, 900.0)
     assert t.admit(0, "a", 0) == (LATER, 0)
     t.swap((1, 1), {"a": ("g", 0.0)}, {"g": 3}, 0.0)
@@ -265,7 +268,7 @@
     assert t.admit(1050, "a", 1)[0] == ADMIT
 
 
-# ---- views on their way ----
+# ---- encoding of views ----
 
 IDS = st.dictionaries(
     st.text("abc", min_size=1, max_size=3),
@@ -276,29 +279,29 @@
 
 @SMALL
 @given(st.lists(IDS, min_size=1, max_size=6), st.integers(0, 5), st.integers(1, 3))
-def test_changes_and_wholes_lead_to_the_same_view(steps, start, history):
-    pub, held = kept.Publisher(7, history), kept.ViewCopy()
+def test_changes_and_whole_views_give_the_same_copy(steps, start, history):
+    publisher, copy = kept.Publisher(7, history), kept.ViewCopy()
     for n, members in enumerate(steps, 1):
-        pub.publish(View(n, members, {g: 0.5 for g, _ in members.values()}, []))
+        publisher.publish(View(n, members, {g: 0.5 for g, _ in members.values()}, []))
         if n >= start:
             from gannetfront.wire import frames
 
-            for data in pub.frames_for(held.epoch, held.number, 0.0):
-                for _, told in frames.FrameReader().feed(data):
-                    held.take(told)
+            for data in publisher.frames_for(copy.epoch, copy.number, 0.0):
+                for _, message in frames.FrameReader().feed(data):
+                    copy.take(message)
     if start <= len(steps):
-        assert (held.members, held.number) == (steps[-1], len(steps))
+        assert (copy.members, copy.number) == (steps[-1], len(steps))
 
 
 def test_older_views_and_gaps_are_refused():
-    held = kept.ViewCopy()
-    for told in kept.view_messages(plain(5, "ab"), 2, 0.0):
-        held.take(told)
+    copy = kept.ViewCopy()
+    for message in kept.view_messages(plain(5, "ab"), 2, 0.0):
+        copy.take(message)
     for number, epoch in ((4, 2), (9, 1)):
         with pytest.raises(ValueError, match="older"):
-            held.take(next(kept.view_messages(plain(number, "a"), epoch, 0.0)))
+            copy.take(next(kept.view_messages(plain(number, "a"), epoch, 0.0)))
     with pytest.raises(ValueError, match="changes on view 6"):
-        held.take(next(kept.view_messages(plain(7, "a"), 2, 0.0, base=plain(6, "ab"))))
+        copy.take(next(kept.view_messages(plain(7, "a"), 2, 0.0, base=plain(6, "ab"))))
 
 
 def test_torn_view_file_is_none():
@@ -308,23 +311,23 @@
     )
 
 
-# ---- the reader against the stand-in ----
+# ---- the reader against the simulated directory ----
 
 
 @pytest.fixture
-def place(tmp_path):
-    made = []
-
-    class Place:
-        def __init__(self, tenants=6, sync=True, **settings_of):
-            self.d = Directory()
-            self.d.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5")
-            self.d.change("cn=shops,ou=g,dc=x", cn="shops", portion="0.3")
+def environment(tmp_path):
+    environments = []
+
+    class Environment:
+        def __init__(self, tenants=6, sync=True, **overrides):
+            self.directory = Directory()
+            self.directory.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5")
+            self.directory.change("cn=shops,ou=g,dc=x", cn="shops", portion="0.3")
             for n in range(tenants):
-                self.tenant(f"t{n}")
-            self.facts = (
+                self.put_tenant(f"t{n}")
+            self.directory_settings = (
                 dict(
-                    address=self.d.at,
+                    address=self.directory.at,
                     tenants_base="ou=t,dc=x",
                     tenants_filter="(uid=*)",
                     groups_base="ou=g,dc=x",
@@ -337,127 +340,131 @@
                     sweep_every=2,
                     answer_limit=400.0,
                 )
-                | settings_of
+                | overrides
             )
             (tmp_path / "pw").write_text("secret\n")
             self.log = Log()
             self.start()
 
-        def tenant(self, name, group="kitchens"):
-            self.d.change(f"uid={name},ou=t,dc=x", uid=name, memberOf=f"cn={group},ou=g,dc=x")
+        def put_tenant(self, name, group="kitchens"):
+            self.directory.change(f"uid={name},ou=t,dc=x", uid=name, memberOf=f"cn={group},ou=g,dc=x")
 
         def start(self):
             text = "\n".join(
                 f"{k}: {chr(34) + v + chr(34) if isinstance(v, str) else str(v).lower()}"
-                for k, v in self.facts.items()
+                for k, v in self.directory_settings.items()
             )
             self.settings = load.parse(schema.Directory, text, "d")
             self.reader = Reader(self.settings, self.log, host.chance(1))
             self.reader.start()
-            made.append(self)
+            environments.append(self)
             return self
 
         @property
         def view(self):
             return self.reader.guard.view
 
-        def until(self, true, limit=6000):
-            end = host.now() + limit
-            while not true():
-                assert host.now() < end, f"never came about; {self.log.lines[-4:]}"
+        def until(self, condition, limit=6000):
+            deadline = host.now() + limit
+            while not condition():
+                assert host.now() < deadline, (
+                    f"condition not met in time; last log lines: {self.log.lines[-4:]}"
+                )
                 host.sleep(5)
 
-        def end(self):
-            for one in self.reader.greenlets:
-                host.stop(one)
+        def close(self):
+            for greenlet in self.reader.greenlets:
+                host.stop(greenlet)
             self.reader.listener.close()
 
-    yield Place
-    for one in made:
-        one.end()
-        one.d.stop()
+    yield Environment
+    for running in environments:
+        running.close()
+        running.directory.stop()
 
 
 @pytest.mark.parametrize("sync", [True, False], ids=["sync", "polling"])
-def test_additions_moves_renames_and_deletions_come_through(place, sync):
-    p = place(sync=sync)
-    p.until(lambda: p.view and len(p.view.members) == 6)
-    p.tenant("new")
-    p.until(lambda: "new" in p.view.members)
-    p.tenant("t1", "shops")
-    p.until(lambda: p.view.members["t1"][0] == "shops")
-    p.d.rename("uid=t2,ou=t,dc=x", "uid=t2,ou=elsewhere,ou=t,dc=x")
-    p.d.remove("uid=new,ou=t,dc=x")
-    p.until(lambda: "new" not in p.view.members)
-    assert "t2" in p.view.members and p.view.number >= 4
-
-
-def test_changes_during_a_cut_are_not_missed(place):
-    p = place()
-    p.until(lambda: p.view)
-    p.d.stop()
-    p.tenant("late")
-    p.d.remove("uid=t0,ou=t,dc=x")
+def test_additions_moves_renames_and_deletions_come_through(environment, sync):
+    env = environment(sync=sync)
+    env.until(lambda: env.view and len(env.view.members) == 6)
+    env.put_tenant("new")
+    env.until(lambda: "new" in env.view.members)
+    env.put_tenant("t1", "shops")
+    env.until(lambda: env.view.members["t1"][0] == "shops")
+    env.directory.rename("uid=t2,ou=t,dc=x", "uid=t2,ou=elsewhere,ou=t,dc=x")
+    env.directory.remove("uid=new,ou=t,dc=x")
+    env.until(lambda: "new" not in env.view.members)
+    assert "t2" in env.view.members and env.view.number >= 4
+
+
+def test_changes_while_disconnected_are_not_missed(environment):
+    env = environment()
+    env.until(lambda: env.view)
+    env.directory.stop()
+    env.put_tenant("late")
+    env.directory.remove("uid=t0,ou=t,dc=x")
     host.sleep(100)
-    assert "t0" in p.view.members  # what is known goes on serving
-    p.d.back()
-    p.until(lambda: "late" in p.view.members and "t0" not in p.view.members)
-
-
-def test_history_gone_means_all_anew_without_a_gap(place):
-    p = place()
-    p.until(lambda: p.view)
-    p.d.faults.forget_sync = True
-    p.d.stop()
-    p.d.remove("uid=t0,ou=t,dc=x")
-    p.d.back()
-    p.until(lambda: "t0" not in p.view.members)
-    assert len(p.view.members) == 5
-
-
-def test_refresh_that_breaks_off_changes_nothing(place):
-    p = place(tenants=40)
-    p.until(lambda: p.view)
-    p.d.faults.forget_sync, p.d.faults.half_after = True, 3000
-    p.d.cut()
-    p.until(lambda: len(p.log.said("directory broke") + p.log.said("directory refuses")) >= 2)
-    assert len(p.view.members) == 40
-    p.d.faults.half_after = None
-    p.tenant("after")
-    p.until(lambda: "after" in p.view.members)
-
-
-def test_mass_deletion_at_the_directory_is_held_then_accepted(place):
-    p = place(tenants=20)
-    p.until(lambda: p.view)
+    assert "t0" in env.view.members  # the last view stays in force
+    env.directory.back()
+    env.until(lambda: "late" in env.view.members and "t0" not in env.view.members)
+
+
+def test_lost_sync_history_leads_to_a_full_refresh(environment):
+    env = environment()
+    env.until(lambda: env.view)
+    env.directory.faults.forget_sync = True
+    env.directory.stop()
+    env.directory.remove("uid=t0,ou=t,dc=x")
+    env.directory.back()
+    env.until(lambda: "t0" not in env.view.members)
+    assert len(env.view.members) == 5
+
+
+def test_interrupted_refresh_changes_nothing(environment):
+    env = environment(tenants=40)
+    env.until(lambda: env.view)
+    env.directory.faults.forget_sync, env.directory.faults.half_after = True, 3000
+    env.directory.cut()
+    env.until(lambda: len(env.log.said("directory broke") + env.log.said("directory refuses")) >= 2)
+    assert len(env.view.members) == 40
+    env.directory.faults.half_after = None
+    env.put_tenant("after")
+    env.until(lambda: "after" in env.view.members)
+
+
+def test_mass_deletion_at_the_directory_is_held_then_accepted(environment):
+    env = environment(tenants=20)
+    env.until(lambda: env.view)
     for n in range(15):
-        p.d.remove(f"uid=t{n},ou=t,dc=x")
-    p.until(lambda: p.log.said("view held"))
+        env.directory.remove(f"uid=t{n},ou=t,dc=x")
+    env.until(lambda: env.log.said("view held"))
     host.sleep(100)
-    assert len(p.view.members) >= 15
-    host.replace_file(p.facts["state_file"] + ".accept", str(p.reader.guard.held.number).encode())
-    p.until(lambda: len(p.view.members) == 5)
+    assert len(env.view.members) >= 15
+    host.replace_file(
+        env.directory_settings["state_file"] + ".accept", str(env.reader.guard.held.number).encode()
+    )
+    env.until(lambda: len(env.view.members) == 5)
 
 
-def test_members_that_come_in_ranges_are_joined(place):
-    p = place(sync=False, member="member", member_of="", sweep_every=1)
+def test_members_that_come_in_ranges_are_joined(environment):
+    env = environment(sync=False, member="member", member_of="", sweep_every=1)
     names = [f"uid=t{n},ou=t,dc=x" for n in range(6)]
-    p.d.faults.range_limit = 2
-    p.d.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5", member=names)
-    p.until(lambda: p.view and all(g == "kitchens" for g, _ in p.view.members.values()))
-    p.d.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5", member=names[:3])
-    p.until(lambda: sorted(g for g, _ in p.view.members.values()) == ["-"] * 3 + ["kitchens"] * 3)
+    env.directory.faults.range_limit = 2
+    env.directory.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5", member=names)
+    env.until(lambda: env.view and all(g == "kitchens" for g, _ in env.view.members.values()))
+    env.directory.change("cn=kitchens,ou=g,dc=x", cn="kitchens", portion="0.5", member=names[:3])
+    env.until(lambda: sorted(g for g, _ in env.view.members.values()) == ["-"] * 3 + ["kitchens"] * 3)
 
 
-def test_older_copy_never_replaces_a_newer_one(place):
-    p = place(sync=False, sweep_every=1)
-    p.until(lambda: p.view)
-    old = p.d.copy()
-    p.tenant("t1", "shops")
-    p.until(lambda: p.view.members["t1"][0] == "shops")
-    p.d.restore(old)
-    p.until(lambda: any("older copy" in f["why"] for f in p.log.said("directory refuses")))
-    assert p.view.members["t1"][0] == "shops"
+def test_older_copy_never_replaces_a_newer_one(environment):
+    env = environment(sync=False, sweep_every=1)
+    env.until(lambda: env.view)
+    older_copy = env.directory.copy()
+    env.put_tenant("t1", "shops")
+    env.until(lambda: env.view.members["t1"][0] == "shops")
+    env.directory.restore(older_copy)
+    env.until(lambda: any("older copy" in f["why"] for f in env.log.said("directory refuses")))
+    assert env.view.members["t1"][0] == "shops"
 
 
 @pytest.mark.parametrize(
@@ -472,44 +479,48 @@
     ],
     ids=str,
 )
-def test_each_trouble_is_named_and_got_over(place, fault, event):
-    p = place()
-    p.until(lambda: p.view)
-    vars(p.d.faults).update(fault)
-    p.d.cut()
-    p.until(lambda: p.log.said(event) or event == "directory broke" and p.log.said("directory refuses"))
-    assert len(p.view.members) == 6
-    vars(p.d.faults).update(
+def test_each_failure_is_logged_and_recovered_from(environment, fault, event):
+    env = environment()
+    env.until(lambda: env.view)
+    vars(env.directory.faults).update(fault)
+    env.directory.cut()
+    env.until(lambda: env.log.said(event) or event == "directory broke" and env.log.said("directory refuses"))
+    assert len(env.view.members) == 6
+    vars(env.directory.faults).update(
         dict(refuse_bind=None, search_code=None, silent=False, garbage=False, half_after=None)
     )
-    p.tenant("again")
-    p.until(lambda: "again" in p.view.members, 10000)
+    env.put_tenant("again")
+    env.until(lambda: "again" in env.view.members, 10000)
 
 
-def test_size_limit_is_an_error_not_a_smaller_view(place):
-    p = place(sync=False)
-    p.until(lambda: p.view)
-    p.d.faults.size_limit = 2
-    p.until(lambda: any("sizeLimit" in f["why"] for f in p.log.said("directory refuses")))
-    assert len(p.view.members) == 6
+def test_size_limit_is_an_error_not_a_smaller_view(environment):
+    env = environment(sync=False)
+    env.until(lambda: env.view)
+    env.directory.faults.size_limit = 2
+    env.until(lambda: any("sizeLimit" in f["why"] for f in env.log.said("directory refuses")))
+    assert len(env.view.members) == 6
 
 
-def test_trickle_is_read_to_its_end(place):
-    p = place(tenants=2)
-    p.until(lambda: p.view)
-    p.d.faults.trickle = 2000
-    p.tenant("slow")
-    p.until(lambda: "slow" in p.view.members)
+def test_slow_stream_is_read_to_its_end(environment):
+    env = environment(tenants=2)
+    env.until(lambda: env.view)
+    env.directory.faults.trickle = 2000
+    env.put_tenant("slow")
+    env.until(lambda: "slow" in env.view.members)
 
 
-def test_restart_with_all_away_serves_the_last_view(place):
-    p = place()
-    p.until(lambda: p.view and not p.reader.file.behind and Path(p.facts["state_file"]).exists())
-    epoch = p.reader.publisher.epoch
-    p.end()
-    p.d.stop()
-    p.start()
-    assert len(p.view.members) == 6 and p.reader.publisher.epoch > epoch
+def test_restart_without_directory_serves_the_last_view(environment):
+    env = environment()
+    env.until(
+        lambda: (
+            env.view and not env.reader.file.behind and Path(env.directory_settings["state_file"]).exists()
+        )
+    )
+    epoch = env.reader.publisher.epoch
+    env.close()
+    env.directory.stop()
+    env.start()
+    assert len(env.view.members) == 6 and env.reader.publisher.epoch > epoch
 
 
 def certificate(tmp_path, names, days=1):
@@ -541,152 +552,153 @@
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
     )
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.load_cert_chain(path)
-    return str(path), made
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    context.load_cert_chain(path)
+    return str(path), context
 
 
 @pytest.mark.parametrize("security", ["ldaps", "starttls"])
 @pytest.mark.parametrize(
-    "names, days, fine",
+    "names, days, valid",
     [(["directory"], 1, True), (["other"], 1, False), (["directory"], -1, False)],
     ids=["good", "wrong name", "expired"],
 )
-def test_certificates_are_checked(place, tmp_path, security, names, days, fine):
+def test_certificates_are_checked(environment, tmp_path, security, names, days, valid):
     path, served = certificate(tmp_path, names, days)
-    p = place()
-    p.d.stop()
-    p.d.context, p.d.start_tls = (served, None) if security == "ldaps" else (None, served)
-    p.d.back()
-    settings_of = load.parse(
+    env = environment()
+    env.directory.stop()
+    env.directory.context, env.directory.start_tls = (served, None) if security == "ldaps" else (None, served)
+    env.directory.back()
+    directory_settings = load.parse(
         schema.Directory,
-        f'address: "{p.d.at}" tenants_base: "ou=t,dc=x" security: "{security}" '
+        f'address: "{env.directory.at}" tenants_base: "ou=t,dc=x" security: "{security}" '
         f'ca_file: "{path}" name_in_certificate: "directory"',
         "d",
     )
-    if fine:
-        assert len(check(settings_of, "")[0].members) == 6
+    if valid:
+        assert len(check(directory_settings, "")[0].members) == 6
     else:
         with pytest.raises(ssl.SSLCertVerificationError):
-            check(settings_of, "")
+            check(directory_settings, "")
 
 
-@pytest.mark.parametrize("shown", [True, False], ids=["with its certificate", "without"])
-def test_external_bind_is_by_the_certificate(place, tmp_path, shown):
+@pytest.mark.parametrize("presented", [True, False], ids=["with its certificate", "without"])
+def test_external_bind_is_by_the_certificate(environment, tmp_path, presented):
     path, served = certificate(tmp_path, ["directory"])
     served.verify_mode = ssl.CERT_OPTIONAL
     served.load_verify_locations(path)
-    p = place()
-    p.d.stop()
-    p.d.context = served
-    p.d.back()
-    settings_of = load.parse(
+    env = environment()
+    env.directory.stop()
+    env.directory.context = served
+    env.directory.back()
+    directory_settings = load.parse(
         schema.Directory,
-        f'address: "{p.d.at}" tenants_base: "ou=t,dc=x" security: "ldaps" ca_file: "{path}" '
-        'name_in_certificate: "directory" external: true ' + (f'cert_file: "{path}"' if shown else ""),
+        f'address: "{env.directory.at}" tenants_base: "ou=t,dc=x" security: "ldaps" ca_file: "{path}" '
+        'name_in_certificate: "directory" external: true ' + (f'cert_file: "{path}"' if presented else ""),
         "d",
     )
-    if shown:
-        assert len(check(settings_of, "")[0].members) == 6
+    if presented:
+        assert len(check(directory_settings, "")[0].members) == 6
     else:
         from gannetfront.tenants.directory import Ended
 
         with pytest.raises(Ended, match="invalidCredentials"):
-            check(settings_of, "")
+            check(directory_settings, "")
 
 
-def test_starttls_refused_is_not_gone_without(place):
-    p = place()
-    settings_of = load.parse(
-        schema.Directory, f'address: "{p.d.at}" tenants_base: "ou=t,dc=x" security: "starttls"', "d"
+def test_refused_starttls_ends_the_session(environment):
+    env = environment()
+    directory_settings = load.parse(
+        schema.Directory, f'address: "{env.directory.at}" tenants_base: "ou=t,dc=x" security: "starttls"', "d"
     )
     from gannetfront.tenants.directory import Ended
 
     with pytest.raises(Ended, match="StartTLS refused"):
-        check(settings_of, "")
+        check(directory_settings, "")
 
 
 # ---- through a proxy ----
 
 
-def test_moved_and_deleted_with_invocations_open(place, tmp_path):
-    p = place()
-    p.until(lambda: p.view)
-    one = Rig(
-        tmp_path, Node([150, ok()]), tenants=p.reader.listener.where, tenants_file=str(tmp_path / "view")
+def test_tenant_moved_and_removed_with_an_invocation_in_flight(environment, tmp_path):
+    env = environment()
+    env.until(lambda: env.view)
+    rig = Rig(
+        tmp_path, Node([150, ok()]), tenants=env.reader.listener.where, tenants_file=str(tmp_path / "view")
     )
-    one.until(lambda: one.proxy.tenants.number())
-    tenancy = one.proxy.tenants.tenancy
-    assert one.ask(gannet_tenant="nobody")[0] == 403 and one.ask()[0] == 403
+    rig.until(lambda: rig.proxy.tenants.number())
+    tenancy = rig.proxy.tenants.tenancy
+    assert rig.ask(gannet_tenant="nobody")[0] == 403 and rig.ask()[0] == 403
     before = tenancy.admit(host.now(), "t1", 0)
-    stream = host.connect(one.at, 1000)
+    stream = host.connect(rig.at, 1000)
     from gannetfront.wire import http as codec
 
     stream.send(codec.request(b"/debit", b"x", [(b"gannet-tenant", b"t1")], b""), 1000)
-    one.until(lambda: len(one.nodes[0].seen) == 1)
-    p.tenant("t1", "shops")
-    one.until(lambda: tenancy.members["t1"][0] == "shops")
-    p.d.remove("uid=t1,ou=t,dc=x")
-    one.until(lambda: "t1" not in tenancy.members)
-    assert one.read(stream)[1] == "succeeded"  # what was admitted ends as it began
-    assert one.ask(gannet_tenant="t1")[0] == 403 and before[0] == ADMIT
-    assert one.proxy.rounds.balancer.tenants[before[1]][0] == 0.5
-    one.close()
-
-
-def test_proxy_serves_from_its_kept_view_with_all_away(place, tmp_path):
-    p = place()
-    p.until(lambda: p.view)
-    one = Rig(tmp_path, Node(), tenants=p.reader.listener.where, tenants_file=str(tmp_path / "view"))
-    one.until(lambda: (tmp_path / "view").exists())
-    one.close()
-    again = Rig(tmp_path, Node(), tenants="127.0.0.1:1", tenants_file=str(tmp_path / "view"))
-    assert again.ask(gannet_tenant="t1")[1] == "succeeded" and again.ask(gannet_tenant="nobody")[0] in (
+    rig.until(lambda: len(rig.nodes[0].seen) == 1)
+    env.put_tenant("t1", "shops")
+    rig.until(lambda: tenancy.members["t1"][0] == "shops")
+    env.directory.remove("uid=t1,ou=t,dc=x")
+    rig.until(lambda: "t1" not in tenancy.members)
+    assert rig.read(stream)[1] == "succeeded"  # an admitted invocation keeps its group to the end
+    assert rig.ask(gannet_tenant="t1")[0] == 403 and before[0] == ADMIT
+    assert rig.proxy.rounds.balancer.tenants[before[1]][0] == 0.5
+    rig.close()
+
+
+def test_proxy_serves_from_its_persisted_view_when_the_reader_is_unreachable(environment, tmp_path):
+    env = environment()
+    env.until(lambda: env.view)
+    rig = Rig(tmp_path, Node(), tenants=env.reader.listener.where, tenants_file=str(tmp_path / "view"))
+    rig.until(lambda: (tmp_path / "view").exists())
+    rig.close()
+    second = Rig(tmp_path, Node(), tenants="127.0.0.1:1", tenants_file=str(tmp_path / "view"))
+    assert second.ask(gannet_tenant="t1")[1] == "succeeded" and second.ask(gannet_tenant="nobody")[0] in (
         403,
         429,
     )
-    again.close()
+    second.close()
 
 
-def test_no_view_at_all_means_come_back(tmp_path):
-    one = Rig(tmp_path, Node(), tenants="127.0.0.1:1", tenants_file=str(tmp_path / "none"))
-    assert one.ask(gannet_tenant="t1")[:2] == (429, "throttled") and not one.nodes[0].seen
-    one.close()
+def test_without_a_view_invocations_are_throttled(tmp_path):
+    rig = Rig(tmp_path, Node(), tenants="127.0.0.1:1", tenants_file=str(tmp_path / "none"))
+    assert rig.ask(gannet_tenant="t1")[:2] == (429, "throttled") and not rig.nodes[0].seen
+    rig.close()
 
 
-def test_many_proxies_come_back_at_once(place):
+def test_many_proxies_connect_at_once(environment):
     from gannetfront.wire import control_pb2 as c, frames
 
-    p = place(tenants=200, answer_limit=10000)  # read in this same process, which a slow machine holds up
-    p.until(lambda: p.view)
-    got = []
+    # The directory runs in this same process, which a slow machine delays.
+    env = environment(tenants=200, answer_limit=10000)
+    env.until(lambda: env.view)
+    sizes = []
 
     def proxy():
-        stream, reader, held = (
-            host.connect(p.reader.listener.where, 5000),
+        stream, reader, view_copy = (
+            host.connect(env.reader.listener.where, 5000),
             frames.FrameReader(),
             kept.ViewCopy(),
         )
         stream.send(frames.pack(hello=c.Hello(role=c.PROXY, id="1")), 5000)
-        while held.members is None:
-            for name, told in reader.feed(stream.recv(65536, 5000)):
+        while view_copy.members is None:
+            for name, message in reader.feed(stream.recv(65536, 5000)):
                 if name == "tenants":
-                    held.take(told)
-        got.append(len(held.members))
+                    view_copy.take(message)
+        sizes.append(len(view_copy.members))
         stream.close()
 
     host.join([host.spawn(proxy) for _ in range(1000)], 30000)
-    assert got == [200] * 1000
+    assert sizes == [200] * 1000
 
 
-def test_check_names_what_it_cannot_use(place, tmp_path):
-    p = place()
-    p.d.change("uid=bad,ou=t,dc=x", uid=["bad", "worse"])
+def test_check_names_what_it_cannot_use(environment, tmp_path):
+    env = environment()
+    env.directory.change("uid=bad,ou=t,dc=x", uid=["bad", "worse"])
     path = tmp_path / "d.textproto"
     path.write_text(
         "\n".join(
             f"{k}: {chr(34) + v + chr(34) if isinstance(v, str) else str(v).lower()}"
-            for k, v in p.facts.items()
+            for k, v in env.directory_settings.items()
         )
     )
     import gevent
@@ -701,42 +713,63 @@
     )
 
 
-# ---- who got in, as the judge sees it ----
+# ---- the audit of admissions ----
 
-HERE = [dict(at=0.0, what="directory here", who="", detail="")]
-AWAY = [
+REACHABLE = [dict(at=0.0, what="directory here", who="", detail="")]
+UNREACHABLE = [
     dict(at=100.0, what="directory away", who="", detail=""),
     dict(at=9000.0, what="directory here", who="", detail=""),
 ]
 
 
-def gone(at, what="tenant gone"):
+def tenant_event(at, what="tenant gone"):
     return [dict(at=at, what=what, who="a-1", detail="")]
 
 
 @pytest.mark.parametrize(
-    "events, tenant, sent, answer, status, wrong",
+    "events, tenant, sent, answer, status, expected_finding",
     [
-        (HERE, "a-1", 10.0, "succeeded", 200, False),
-        (HERE, "nobody", 10.0, "succeeded", 200, True),
-        (HERE, "nobody", 10.0, "other", 403, False),
-        (HERE, "a-1", 10.0, "other", 403, True),
-        (HERE + gone(1000.0), "a-1", 1500.0, "succeeded", 200, False),
-        (HERE + gone(1000.0), "a-1", 4000.0, "succeeded", 200, True),
-        (HERE + gone(1000.0), "a-1", 1500.0, "other", 403, False),
-        (HERE + AWAY + gone(1000.0), "a-1", 8000.0, "succeeded", 200, False),  # nobody could know
-        (HERE + AWAY + gone(1000.0), "a-1", 12000.0, "succeeded", 200, True),
-        (HERE + gone(1000.0) + gone(2000.0, "tenant here"), "a-1", 2500.0, "other", 403, False),
-        (HERE + gone(1000.0) + gone(2000.0, "tenant here"), "a-1", 9000.0, "other", 403, True),
+        (REACHABLE, "a-1", 10.0, "succeeded", 200, False),
+        (REACHABLE, "nobody", 10.0, "succeeded", 200, True),
+        (REACHABLE, "nobody", 10.0, "other", 403, False),
+        (REACHABLE, "a-1", 10.0, "other", 403, True),
+        (REACHABLE + tenant_event(1000.0), "a-1", 1500.0, "succeeded", 200, False),
+        (REACHABLE + tenant_event(1000.0), "a-1", 4000.0, "succeeded", 200, True),
+        (REACHABLE + tenant_event(1000.0), "a-1", 1500.0, "other", 403, False),
+        (
+            REACHABLE + UNREACHABLE + tenant_event(1000.0),
+            "a-1",
+            8000.0,
+            "succeeded",
+            200,
+            False,
+        ),  # the directory was unreachable, so the removal could not be known
+        (REACHABLE + UNREACHABLE + tenant_event(1000.0), "a-1", 12000.0, "succeeded", 200, True),
+        (
+            REACHABLE + tenant_event(1000.0) + tenant_event(2000.0, "tenant here"),
+            "a-1",
+            2500.0,
+            "other",
+            403,
+            False,
+        ),
+        (
+            REACHABLE + tenant_event(1000.0) + tenant_event(2000.0, "tenant here"),
+            "a-1",
+            9000.0,
+            "other",
+            403,
+            True,
+        ),
     ],
 )
-def test_admission_is_judged(events, tenant, sent, answer, status, wrong):
+def test_admission_is_judged(events, tenant, sent, answer, status, expected_finding):
     from gannetfront.audit.admission import judge
 
-    checked, stories = judge(
+    checked, findings = judge(
         [dict(request="1.0", tenant=tenant, sent=sent, ended=sent + 50, answer=answer, status=status)],
         events,
         2000.0,
     )
-    assert checked == 1 and bool(stories) == wrong
+    assert checked == 1 and bool(findings) == expected_finding
     assert judge([], [], 0.0) is None
