--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -48,13 +48,13 @@
     )
     begun = host.now()
     one.start()
-    while not one.holder.view:
+    while not one.guard.view:
         host.sleep(2)
     return one, host.now() - begun
 
 
 def proxy(one):
-    stream, reader, held = host.connect(one.listener.where, 5000), frames.FrameReader(), kept.Held()
+    stream, reader, held = host.connect(one.listener.where, 5000), frames.FrameReader(), kept.ViewCopy()
     stream.send(frames.pack(hello=c.Hello(role=c.PROXY, id="1")), 5000)
     return stream, reader, held
 
