--- a/gannetfront/tenants/views.py
+++ b/gannetfront/tenants/views.py
@@ -87,7 +87,7 @@
     where it is not a number or outside 0 to `maximum`."""
     if not name or name not in attrs:
         return None
-    text = single_text(attrs, name, "a figure")
+    text = single_text(attrs, name, "a number")
     try:
         value = float(text)
     except ValueError:
