--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -47,9 +47,9 @@
 
 def test_damage_within_is_told_from_a_torn_end():
     parts = [records.pack(n, 1.0, "x", {"n": n}) for n in (1, 2, 3)]
-    with pytest.raises(records.Damaged, match="sound records behind"):
+    with pytest.raises(records.Damaged, match="followed by intact records"):
         records.read(parts[0] + parts[1][:-1] + b"?" + parts[2], 1)
-    with pytest.raises(records.Damaged, match="record 3 where 2 was due"):
+    with pytest.raises(records.Damaged, match="found record 3 where 2 was expected"):
         records.read(parts[0] + parts[2], 1)
 
 
