--- a/gannetfront/trail/__init__.py
+++ b/gannetfront/trail/__init__.py
@@ -2,4 +2,4 @@
 
 
 class Refused(Exception):
-    """It could not be written down."""
+    """The record could not be written to the trail."""
--- a/gannetfront/trail/disk.py
+++ b/gannetfront/trail/disk.py
@@ -1,35 +1,39 @@
-"""Whether a disk can be waited for, by how long its writes took, without I/O.
+"""Decides from the duration of writes whether a disk is too slow to wait for. Does no I/O itself.
 
-A disk fails slowly before it fails: a write that takes longer than `patience` ms says so while it is still out, and from then
-on nobody is to wait for one, until a write has come back within that time. Whoever asks writes one now and then to see.
+A failing disk is often slow first. Once a write takes longer than `patience` ms, the disk counts as slow while
+that write is still in progress, and callers should not wait for it until a later write completes within that
+time. The caller must attempt a write now and then, or the recovery is never noticed.
 """
 
 
 class Disk:
+    """The state of one disk, with at most one write in progress. All times are in ms."""
+
     def __init__(self, patience):
-        self.patience, self.since, self.slow_since, self.took = patience, None, None, 0.0
+        """A write that takes longer than `patience` ms makes the disk a slow one."""
+        self.patience, self.write_started, self.slow_since, self.took = patience, None, None, 0.0
 
     slow = property(lambda self: self.slow_since is not None)
 
     def begun(self, now):
-        """A write is out; it may be waited for until `patience` ms from now."""
-        self.since = now
+        """A write has started; callers may wait for it until `patience` ms from now."""
+        self.write_started = now
 
     def overdue(self, now):
-        """The write that is out took too long. True where that is news."""
-        news = not self.slow
-        if news:
-            self.slow_since = self.since
-        return news
+        """The write in progress has exceeded the patience. Returns True if the disk was not slow before."""
+        newly_slow = not self.slow
+        if newly_slow:
+            self.slow_since = self.write_started
+        return newly_slow
 
     def ended(self, now):
-        """It came back. For how many ms there was no quick one, where this one ends that; else None."""
-        self.took, self.since = now - self.since, None
+        """The write has completed. Returns for how many ms the disk was slow if this write ends that, else None."""
+        self.took, self.write_started = now - self.write_started, None
         if self.took > self.patience or not self.slow:
             return None
-        since, self.slow_since = self.slow_since, None
-        return now - since
+        slow_since, self.slow_since = self.slow_since, None
+        return now - slow_since
 
     def waiting_for(self, now):
-        """ms that the write that is out has taken so far; 0 where none is."""
-        return 0.0 if self.since is None else now - self.since
+        """Duration of the write in progress so far, in ms; 0 if there is none."""
+        return 0.0 if self.write_started is None else now - self.write_started
