--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -1,71 +1,85 @@
-"""A file that holds the newest of something while its program goes on: one write at a time, in a thread of its own."""
+"""A file that persists the latest state of an object while the program runs.
+
+One write is made at a time, in a thread of its own, so that a slow disk does not stop the event loop.
+"""
 
 from . import host
 
-EVERY, AGAIN, LONG = (
+POLL_INTERVAL, AGAIN, SLOW_WRITE = (
     250.0,
     1000.0,
     1000.0,
-)  # ms: looked for a change; after a failure; a write that is told of
+)  # ms: between checks for a change; before a retry; after which a write is logged as slow
 
 
 class KeptFile:
-    def __init__(self, path, pack, what, log):
-        """`pack()` gives the bytes as they are now; `what` names it in the log. Call `changed()`; `run` is a greenlet's."""
-        self.path, self.pack, self.what, self.log = path, pack, what, log
-        self.newest, self.written, self.failing = 0, 0, False
-        self.wake, self.waiting = host.Mailbox(1), []  # [(which change, told whether it is written)]
+    """Writes the state to `path` shortly after each change, and retries for as long as the disk refuses it."""
+
+    def __init__(self, path, pack, label, log):
+        """`pack()` returns the current state as bytes; `label` names it in log lines. Report each change with
+        `changed()` or `keep()`; `run` is to be started in a greenlet."""
+        self.path, self.pack, self.label, self.log = path, pack, label, log
+        self.latest_change, self.written_change, self.failing = 0, 0, False
+        # waiters: [(number of the change, Once that holds whether it was written)]
+        self.wake, self.waiters = host.Mailbox(1), []
 
-    behind = property(lambda self: self.written != self.newest)
+    behind = property(lambda self: self.written_change != self.latest_change)
 
     def changed(self):
-        self.newest += 1
+        """Marks the state as changed; it is written within the poll interval if the disk allows."""
+        self.latest_change += 1
 
     def keep(self, limit):
-        """After a change that is not to be acted upon before a restart would know of it: whether it is on disk, within `limit` ms.
-        False where the disk is slower or refuses it; it is written later all the same."""
+        """Marks the state as changed and waits up to `limit` ms until it is on disk; returns whether it is.
+
+        For changes that must not take effect before a restart would find them. After False, where the disk is
+        slow or refuses the write, the state is still written later.
+        """
         self.changed()
-        told = host.Once()
-        self.waiting.append((self.newest, told))
+        written = host.Once()
+        self.waiters.append((self.latest_change, written))
         self.wake.put(True)
         try:
-            return told.wait(limit)
+            return written.wait(limit)
         except host.Timeout:
             return False
 
     def run(self):
+        """Writes changes until the greenlet is stopped."""
         while True:
-            # A while after a change: a burst of changes is one write.
-            self.wake.take(AGAIN if self.failing else EVERY)
+            # Changes are collected for the poll interval, so that a burst of them is one write.
+            self.wake.take(AGAIN if self.failing else POLL_INTERVAL)
             if self.behind:
-                written = self.write()
-                done, self.waiting = (
-                    [w for w in self.waiting if w[0] <= written],
-                    [w for w in self.waiting if w[0] > written],
+                attempted_change = self.write()
+                attempted, self.waiters = (
+                    [waiter for waiter in self.waiters if waiter[0] <= attempted_change],
+                    [waiter for waiter in self.waiters if waiter[0] > attempted_change],
                 )
-                for _, told in done:
-                    told.set(not self.failing)
+                for _, written in attempted:
+                    written.set(not self.failing)
 
     def write(self):
-        """The number of the change that was written, or that the disk refused."""
-        begun, packed = host.now(), self.newest
+        """Writes the current state; returns the number of the change that was written or that the disk refused."""
+        started, packed_change = host.now(), self.latest_change
         job = host.Apart(host.replace_file, self.path, self.pack())
         try:
             try:
-                job.wait(LONG)
+                job.wait(SLOW_WRITE)
             except host.Timeout:
                 self.log.warning(
-                    f"{self.what} kept late: its disk is slow", file=self.path, after_ms=round(LONG)
+                    f"{self.label} not yet written: the disk is slow",
+                    file=self.path,
+                    after_ms=round(SLOW_WRITE),
                 )
                 job.wait()
-        except OSError as trouble:
-            # What a full disk refused is owed until it is written: nothing may change again for hours.
+        except OSError as error:
+            # A refused write (a full disk) is retried: the next change may be hours away.
             if not self.failing:
-                self.log.error(f"{self.what} not kept", file=self.path, why=str(trouble))
+                self.log.error(f"{self.label} not kept", file=self.path, why=str(error))
             self.failing = True
-            return packed
-        self.written = packed
-        if self.failing or host.now() - begun > LONG:
-            self.log.info(f"{self.what} kept again", file=self.path, took_ms=round(host.now() - begun))
+            return packed_change
+        self.written_change = packed_change
+        if self.failing or host.now() - started > SLOW_WRITE:
+            self.log.info(f"{self.label} written again", file=self.path, took_ms=round(host.now() - started))
         self.failing = False
-        return packed
+        return packed_change
