--- a/gannetfront/trail/log.py
+++ b/gannetfront/trail/log.py
@@ -1,24 +1,31 @@
-"""The trail on disk: appended, committed in groups, rotated. Nothing counts as written before its sync has returned.
+"""The trail on disk: records are appended, committed in groups, and segments are rotated.
 
-A full disk, or one that stands still: records of the kinds in `must` are refused (the caller then does not do what it could not
-write down), at once, those that wait already among them. Others wait for it, past a bound they are counted and the count is
-written when there is room again. It recovers by itself: something is written now and then to see.
+A record counts as written only after its sync has returned. While the disk is full or slow, records of the
+`required` kinds are refused at once, those already waiting included, and the caller must not do what it
+could not record. Other records wait; above a limit they are dropped and counted, and the count is written as
+soon as the disk accepts writes again. Recovery is automatic: a write is attempted at intervals.
 """
 
 from .. import host
 from . import Refused, records
 from .disk import Disk
 
-ENDING, RETRY, WAITING = ".trail", 500.0, 20000
-CLOSE = 2000.0  # ms in which an ending program waits for what is not written yet
+# suffix of segment files; ms between attempts on an idle trail; records that may wait for the disk
+ENDING, RETRY_INTERVAL, MAX_WAITING = ".trail", 500.0, 20000
+CLOSE_TIMEOUT = 2000.0  # ms that a stopping program waits for unwritten records
 
 
 class Trail:
-    """`delay` ms at most from a record to its write; `rotate` bytes a segment; `keep` sealed segments; a write that takes longer
-    than `patience` ms makes the disk a slow one."""
+    """The writer of one trail: appends records to the newest segment in `folder`."""
 
     def __init__(self, folder, log, delay=2.0, rotate=64 << 20, keep=64, must=("intent",), patience=250.0):
-        self.folder, self.log, self.delay, self.rotate, self.keep, self.must = (
+        """Opens the newest segment, or creates the first; raises records.Damaged if it is not sound.
+
+        `delay` is the maximum time in ms from a record to its write, so that one sync covers a group;
+        `rotate` is the size of a segment in bytes; `keep` is the number of closed segments that a rotation leaves;
+        `must` holds the required kinds. A write that takes longer than `patience` ms makes the disk a slow one.
+        """
+        self.folder, self.log, self.group_delay, self.segment_size, self.max_closed, self.required = (
             folder,
             log,
             delay,
@@ -26,52 +33,58 @@
             keep,
             must,
         )
-        self.waiting, self.lost, self.full, self.box, self.torn = [], 0, False, host.Mailbox(1), 0
+        self.waiting, self.lost, self.full, self.wake, self.torn = [], 0, False, host.Mailbox(1), 0
         self.disk, self.running, self.closing, self.ended = Disk(patience), False, False, host.Once()
-        self.closes = False  # the segment is to end with its next write, whatever its size
+        self.closes = False  # rotate after the next write, whatever the size of the segment
         files = host.folder_files(folder, ENDING)
-        self.seq = 1
+        self.next_seq = 1
         if files:
-            # The end of the last may be torn by a power cut: cut off what no one was told is written.
+            # A power cut may tear the end of the last segment; it was never acknowledged and is cut off.
             first = number(files[-1])
             data = host.read_file(files[-1])
-            found, whole = records.read(data, first)
-            self.seq = found[-1][0] + 1 if found else first
+            found, intact_size = records.read(data, first)
+            self.next_seq = found[-1][0] + 1 if found else first
             self.file = host.AppendFile(files[-1])
-            self.torn = len(data) - whole
+            self.torn = len(data) - intact_size
             if self.torn:
-                self.log.warning("trail's torn end cut off", file=files[-1], bytes=self.torn)
-                self.file.cut(whole)
+                self.log.warning("torn end of the trail cut off", file=files[-1], bytes=self.torn)
+                self.file.cut(intact_size)
         else:
             self.file = self.segment()
 
     def segment(self):
-        return host.AppendFile(f"{self.folder}/{self.seq:016d}{ENDING}")
+        """Creates the segment that begins with the next record."""
+        return host.AppendFile(f"{self.folder}/{self.next_seq:016d}{ENDING}")
 
     def refuses(self):
-        """True while what must be written cannot be."""
-        return self.full or self.disk.slow or len(self.waiting) >= WAITING or self.closing
+        """Whether records of the required kinds are refused at the moment."""
+        return self.full or self.disk.slow or len(self.waiting) >= MAX_WAITING or self.closing
 
     def write_ms(self):
-        """How long the write that is out has taken, or the last one took."""
+        """Duration in ms of the write in progress so far, or else of the last one."""
         return self.disk.waiting_for(host.now()) or self.disk.took
 
     def append(self, kind, **facts):
-        """A Once that holds True when it is on disk, False when it could not be written; raises Refused while the disk is
-        full or slow, for what must be written."""
+        """Queues a record. Returns a Once that holds True when it is on disk, False if that failed.
+
+        Raises Refused for a record of a required kind while the disk is full or slow.
+        """
         once = host.Once()
-        if kind in self.must and self.refuses():
+        if kind in self.required and self.refuses():
             raise Refused(kind)
-        if self.full or len(self.waiting) >= WAITING:
+        if self.full or len(self.waiting) >= MAX_WAITING:
             self.lost += 1
             once.set(False)
             return once
         self.waiting.append((kind, host.wall(), facts, once))
-        self.box.put(True)
+        self.wake.put(True)
         return once
 
     def written(self, kind, limit, **facts):
-        """True once it is on disk; Refused where it could not be, or not within `limit` ms."""
+        """Appends a record and returns True once it is on disk.
+
+        Raises Refused if it cannot be written, or not within `limit` ms.
+        """
         try:
             if not self.append(kind, **facts).wait(limit):
                 raise Refused(kind)
@@ -80,56 +93,61 @@
         return True
 
     def run(self):
+        """Commits records until `close` is called."""
         self.running = True
         while not self.closing:
-            self.box.take(RETRY)
-            if self.waiting and self.delay:
-                host.sleep(self.delay)
+            self.wake.take(RETRY_INTERVAL)
+            if self.waiting and self.group_delay:
+                host.sleep(self.group_delay)
             self.commit()
         self.commit()
         self.ended.set()
 
     def commit(self):
+        """Writes all waiting records with one sync, and rotates the segment if it is full."""
         group, self.waiting = self.waiting, []
         rows = [("lost", host.wall(), dict(records=self.lost), None)] if self.lost else []
         if self.disk.slow and not group and not rows:
-            # Nobody waits for a slow disk: without a write of its own it would never be seen to be quick again.
+            # Required records are refused on a slow disk: only a write of the trail's own shows its recovery.
             rows = [("slow", host.wall(), dict(ms=round(self.disk.took)), None)]
         if not group and not (rows and (self.full or self.disk.slow)):
             return
-        seq, data = self.seq, b""
+        seq, data = self.next_seq, b""
         for kind, at, facts, _ in rows + group:
             data += records.pack(seq, at, kind, facts)
             seq += 1
         try:
             self.write(data, group)
-        except OSError as trouble:
+        except OSError as error:
             if not self.full:
-                self.log.error("trail full", why=str(trouble))
+                self.log.error("trail not writable", why=str(error))
             self.full = True
             for kind, _, _, once in group:
-                self.lost += kind not in self.must
+                self.lost += kind not in self.required
                 once.set(False)
             return
-        # What was counted as lost while this was written is still owed.
-        self.seq, self.lost = (
+        # Records lost during this write are not in its count; they are reported by a later one.
+        self.next_seq, self.lost = (
             seq,
             self.lost - sum(facts["records"] for kind, _, facts, _ in rows if kind == "lost"),
         )
         if self.full:
             self.full = False
-            self.log.info("trail has room again")
+            self.log.info("trail writable again")
         for *_, once in group:
             once.set(True)
-        if self.file.size >= self.rotate or self.closes:
+        if self.file.size >= self.segment_size or self.closes:
             self.closes = False
             try:
                 host.Apart(self.next_segment).wait()
-            except OSError as trouble:
-                self.log.error("trail not rotated", why=str(trouble))  # the segment grows on
+            except OSError as error:
+                self.log.error("trail segment not rotated", why=str(error))  # the old one grows further
 
     def write(self, data, group):
-        """In a thread, for as long as the disk takes; past the disk's patience nobody is left waiting for it."""
+        """Writes in a thread for as long as the disk takes.
+
+        Past the disk's patience, waiting records of the required kinds fail, so that no caller waits longer.
+        """
         self.disk.begun(host.now())
         job = host.Apart(self.file.append, data)
         try:
@@ -139,25 +157,29 @@
                 if self.disk.overdue(host.now()):
                     self.log.error("trail slow", ms=round(self.disk.patience))
                 for kind, _, _, once in group + self.waiting:
-                    if kind in self.must:
+                    if kind in self.required:
                         once.set(False)
                 job.wait()
         finally:
-            slow_for = self.disk.ended(host.now())
-            if slow_for is not None:
-                self.log.info("trail quick again", after_ms=round(slow_for))
+            slow_ms = self.disk.ended(host.now())
+            if slow_ms is not None:
+                self.log.info("trail quick again", after_ms=round(slow_ms))
 
     def next_segment(self):
-        after = self.segment()
+        """Opens the next segment, then removes the oldest closed ones above the limit."""
+        opened = self.segment()
         self.file.close()
-        self.file = after
-        for path in host.folder_files(self.folder, ENDING)[: -self.keep - 1]:
+        self.file = opened
+        for path in host.folder_files(self.folder, ENDING)[: -self.max_closed - 1]:
             host.remove_file(path)
 
-    def close(self, limit=CLOSE):
-        """Writes what waits; a disk that does not answer within `limit` ms does not keep the program from ending."""
+    def close(self, limit=CLOSE_TIMEOUT):
+        """Writes the waiting records and closes the segment.
+
+        Gives up after `limit` ms, so that a disk that hangs does not keep the program from ending.
+        """
         self.closing = True
-        self.box.put(True)
+        self.wake.put(True)
         if not self.running:
             host.spawn(self.run)
         try:
@@ -170,38 +192,45 @@
 
 
 def number(path):
-    """Of a segment's first record."""
+    """Number of the first record of the segment at `path`, from its file name."""
     return int(path.rpartition("/")[2].partition(".")[0])
 
 
 def read(folder, request=None):
-    """All records in order, sealed or not, or only those of one `request`; raises Damaged, naming the file. A torn end is no
-    damage in the last segment only."""
+    """All records [(seq, at, kind, facts)] in order, plain and sealed, or only those of `request`.
+
+    Raises Damaged, naming the file. A torn end is accepted in the last segment only.
+    """
     from . import sealed
 
     plain = host.folder_files(folder, ENDING)
-    # Killed while it was sealed, a segment is there twice: the one that was written first counts.
-    known = {number(p) for p in plain}
-    files = sorted(plain + [p for p in host.folder_files(folder, sealed.ENDING) if number(p) not in known])
-    found, due = [], None
+    # A process killed while sealing leaves a segment in both forms: the plain one is read.
+    plain_numbers = {number(path) for path in plain}
+    files = sorted(
+        plain
+        + [path for path in host.folder_files(folder, sealed.ENDING) if number(path) not in plain_numbers]
+    )
+    found, expected = [], None
     for path in files:
         first = number(path)
-        if due is not None and first != due:
-            raise records.Damaged(f"{path}: begins with record {first}, {due} was due: a segment is missing")
+        if expected is not None and first != expected:
+            raise records.Damaged(
+                f"{path}: begins with record {first}, expected {expected}: a segment is missing"
+            )
         if path.endswith(sealed.ENDING):
             if request is not None:
                 found += sealed.read(path, request)
-                due = sealed.last(path) + 1
+                expected = sealed.last(path) + 1
                 continue
-            some = sealed.read(path)
+            segment_records = sealed.read(path)
         else:
             data = host.read_file(path)
             try:
-                some, whole = records.read(data, first)
-            except records.Damaged as trouble:
-                raise records.Damaged(f"{path}: {trouble}") from None
-            if whole < len(data) and path != files[-1]:
-                raise records.Damaged(f"{path}: torn at byte {whole}, and not the last")
-        due = some[-1][0] + 1 if some else first
-        found += [r for r in some if request is None or r[3].get("request") == request]
+                segment_records, intact_size = records.read(data, first)
+            except records.Damaged as error:
+                raise records.Damaged(f"{path}: {error}") from None
+            if intact_size < len(data) and path != files[-1]:
+                raise records.Damaged(f"{path}: torn at byte {intact_size}, but it is not the last segment")
+        expected = segment_records[-1][0] + 1 if segment_records else first
+        found += [r for r in segment_records if request is None or r[3].get("request") == request]
     return found
