--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -13,11 +13,13 @@
 
 
 class KeptFile:
-    """Writes the state to `path` shortly after each change, and retries for as long as the disk refuses it."""
+    """Writes the state to `path` shortly after each change, and retries while the disk refuses it."""
 
     def __init__(self, path, pack, label, log):
-        """`pack()` returns the current state as bytes; `label` names it in log lines. Report each change with
-        `changed()` or `keep()`; `run` is to be started in a greenlet."""
+        """`pack()` returns the current state as bytes; `label` names it in log lines.
+
+        Report each change with `changed()` or `keep()`; start `run` in a greenlet.
+        """
         self.path, self.pack, self.label, self.log = path, pack, label, log
         self.latest_change, self.written_change, self.failing = 0, 0, False
         # waiters: [(number of the change, Once that holds whether it was written)]
@@ -59,7 +61,7 @@
                     written.set(not self.failing)
 
     def write(self):
-        """Writes the current state; returns the number of the change that was written or that the disk refused."""
+        """Writes the current state; returns the number of the change that was written or refused."""
         started, packed_change = host.now(), self.latest_change
         job = host.Apart(host.replace_file, self.path, self.pack())
         try:
--- a/gannetfront/trail/disk.py
+++ b/gannetfront/trail/disk.py
@@ -1,8 +1,8 @@
 """Decides from the duration of writes whether a disk is too slow to wait for. Does no I/O itself.
 
-A failing disk is often slow first. Once a write takes longer than `patience` ms, the disk counts as slow while
-that write is still in progress, and callers should not wait for it until a later write completes within that
-time. The caller must attempt a write now and then, or the recovery is never noticed.
+A failing disk is often slow first. Once a write takes longer than `patience` ms, the disk counts as slow,
+even while that write is still in progress, and callers should not wait for it until a write completes within
+that time. The caller must attempt a write now and then, or the recovery is never noticed.
 """
 
 
@@ -27,7 +27,7 @@
         return newly_slow
 
     def ended(self, now):
-        """The write has completed. Returns for how many ms the disk was slow if this write ends that, else None."""
+        """The write has completed. Returns for how many ms the disk was slow, or None unless this ends it."""
         self.took, self.write_started = now - self.write_started, None
         if self.took > self.patience or not self.slow:
             return None
--- a/gannetfront/trail/records.py
+++ b/gannetfront/trail/records.py
@@ -1,7 +1,7 @@
 """Encoding of the trail's records, without I/O: framed by length and checksum, numbered without gaps.
 
-A record is either complete or absent: reading stops at the first torn one. If intact records follow it, that is
-damage: a power cut tears only the end of a file.
+A record is either complete or absent: reading stops at the first torn one. If intact records follow it, that
+is damage: a power cut tears only the end of a file.
 """
 
 import json
