--- a/gannetfront/proxy/links.py
+++ b/gannetfront/proxy/links.py
@@ -1,205 +1,255 @@
-"""The proxy's link to the controllers: the control stream, which resumes."""
+"""Client side of the frame streams: a stream that reconnects, and the proxy's link to the controllers."""
 
 from .. import host
 from ..interface import ERROR, FULL, MOOT, SUCCEEDED, TIMEOUT
 from ..wire import control_pb2 as c, frames
 
-STATUS = {c.OK: SUCCEEDED, c.MOOT: MOOT, c.FULL: FULL, c.ERROR: ERROR}
-ALIVE, LOST = 1000.0, 4000.0  # says something this often; a peer silent for so long is gone
+STATUS_BY_CODE = {c.OK: SUCCEEDED, c.MOOT: MOOT, c.FULL: FULL, c.ERROR: ERROR}
+HEARTBEAT_INTERVAL_MS, PEER_TIMEOUT_MS = 1000.0, 4000.0  # a peer that sends nothing for the latter is lost
 
 
 class Outdated(Exception):
-    def __init__(self, told, newest):
-        super().__init__(f"epoch {told} after {newest}")
-        self.told, self.newest = told, newest
+    """A message carries an older epoch than one received before."""
+
+    def __init__(self, received, newest):
+        super().__init__(f"epoch {received} received after {newest}")
+        self.received, self.newest = received, newest
 
 
 class Epochs:
-    """The newest epoch heard of. A controller that was stopped and goes on does not know that another took its turn: what
-    it says then must not be heeded, by whatever way it comes."""
+    """Tracks the newest epoch received, and rejects messages of older ones.
+
+    A controller that was paused and resumes does not know that another one has become the leader meanwhile.
+    Its messages must not be applied, whichever way they arrive."""
 
     def __init__(self):
         self.newest = 0
 
     def check(self, message):
-        told = getattr(message, "epoch", 0)
-        if told:
-            if told < self.newest:
-                raise Outdated(told, self.newest)
-            self.newest = told
+        """Records the epoch of a message; raises Outdated for an older one. A message may carry no epoch."""
+        received = getattr(message, "epoch", 0)
+        if received:
+            if received < self.newest:
+                raise Outdated(received, self.newest)
+            self.newest = received
 
 
 class StreamLink:
-    """Keeps one stream of frames to one of `to`, an address or several in turn; what comes is given to `on_<name>`. Names it
-    by `what` in the log."""
+    """Keeps one frame stream open to one of several addresses, which are tried in turn.
 
-    def __init__(self, to, log, chance, what, most=1024):
-        self.most = most  # frames that wait to be sent
-        self.to, self.log, self.chance, self.what = (
+    A received message is passed to the method `on_<name>`. Subclasses define `hello()`, which returns the
+    first message to send. `name` identifies the peer in the log."""
+
+    def __init__(self, to, log, random, name, max_queued=1024):
+        """`to` is an address or a list of them; `random.random()` spreads the reconnects."""
+        self.max_queued = max_queued  # frames that wait to be sent
+        self.to, self.log, self.random, self.name = (
             [to] if isinstance(to, str) else list(to),
             log,
-            chance,
-            what,
+            random,
+            name,
         )
         self.out, self.up, self.turned_away, self.stream = None, False, False, None
 
     def turn_to(self, address):
-        """Who is to be talked to is another now, or the same: a stream to any other ends."""
+        """Makes `address` the only peer, and closes a stream to any other."""
         if self.to != [address]:
             self.to = [address]
             if self.stream:
                 self.stream.close()
 
     def run(self):
-        wait, at = 50.0, 0
+        """Connects and reconnects for ever."""
+        delay, index = 50.0, 0
         while True:
             self.turned_away = False
             try:
-                at %= len(self.to)
-                stream = host.connect(self.to[at], 1000)
-            except host.Refused as trouble:
-                self.log.info(f"{self.what} unreachable", at=self.to[at], why=trouble.kind)
-                used = False
+                index %= len(self.to)
+                stream = host.connect(self.to[index], 1000)
+            except host.Refused as error:
+                self.log.info(f"{self.name} unreachable", at=self.to[index], why=error.kind)
+                useful = False
             else:
-                used = self.talk(stream) and not self.turned_away
-            if used:
-                wait = 50.0
-            else:  # a standby turns callers away: the one that acts is another
-                at = (at + 1) % len(self.to)
-            # Spread, so that hundreds of proxies cut off together do not come back together.
-            host.sleep(wait * (0.5 + self.chance.random()))
-            if at == 0:
-                wait = min(2000.0, 1.6 * wait)
-
-    def talk(self, stream):
-        """One stream until it breaks; True if it was of use."""
-        reader, heard = frames.FrameReader(), False
-        self.out = out = host.Mailbox(self.most)
+                useful = self.run_stream(stream) and not self.turned_away
+            if useful:
+                delay = 50.0
+            else:  # a standby refuses its callers: another peer is the leader
+                index = (index + 1) % len(self.to)
+            # Jitter, so that hundreds of proxies that were cut off together do not reconnect together.
+            host.sleep(delay * (0.5 + self.random.random()))
+            if index == 0:
+                delay = min(2000.0, 1.6 * delay)
+
+    def run_stream(self, stream):
+        """Runs one stream until it ends; returns whether a message was received."""
+        reader, received = frames.FrameReader(), False
+        self.out = out = host.Mailbox(self.max_queued)
         out.put(frames.pack(hello=self.hello()))
         self.begun()
         writer = host.spawn(self.write, stream, out)
         self.up, self.stream = True, stream
         try:
             while True:
-                data = stream.recv(65536, LOST)
+                data = stream.recv(65536, PEER_TIMEOUT_MS)
                 if not data:
-                    self.log.info(f"{self.what} closed")
+                    self.log.info(f"{self.name} closed")
                     break
                 for name, message in reader.feed(data):
-                    heard = True
+                    received = True
                     self.check(message)
                     getattr(self, "on_" + name, self.on_other)(message)
         except host.Timeout:
-            self.log.warning(f"{self.what} silent", for_ms=LOST)
-        except frames.BadFrame as trouble:
-            self.log.error(f"{self.what} sent garbage", why=str(trouble))
-        except Outdated as trouble:
-            self.log.error(
-                f"{self.what} of an earlier turn refused", told=trouble.told, newest=trouble.newest
-            )
+            self.log.warning(f"{self.name} silent", for_ms=PEER_TIMEOUT_MS)
+        except frames.BadFrame as error:
+            self.log.error(f"{self.name} sent garbage", why=str(error))
+        except Outdated as error:
+            self.log.error(f"{self.name} of an older epoch refused", told=error.received, newest=error.newest)
             self.turned_away = True
-        except OSError as trouble:
-            self.log.info(f"{self.what} broke", why=str(trouble))
+        except OSError as error:
+            self.log.info(f"{self.name} broke", why=str(error))
         finally:
             self.up, self.stream = False, None
             stream.close()
             host.stop(writer)
-            self.lost()
-        return heard
+            self.disconnected()
+        return received
 
     def begun(self):
-        """The stream is here: what is said right after the hello."""
+        """Called once a stream is open: sends what follows the hello."""
 
-    def lost(self):
-        """The stream has ended."""
+    def disconnected(self):
+        """Called when the stream has ended."""
 
     def check(self, message):
-        """Before a message is heeded; raises Outdated."""
+        """Called before a message is applied; raises Outdated."""
 
     def on_other(self, message):
-        """Of a later version: passed over."""
+        """Ignores a message of a type that only a later version knows."""
 
     def write(self, stream, out):
+        """Sends the queued frames, and a heartbeat whenever nothing was queued for the interval."""
         try:
             while True:
-                stream.send(out.take(ALIVE) or frames.pack(alive=c.Alive()), LOST)
+                stream.send(out.take(HEARTBEAT_INTERVAL_MS) or frames.pack(alive=c.Alive()), PEER_TIMEOUT_MS)
         except (OSError, host.Timeout):
             stream.close()
 
 
 class ControlLink(StreamLink):
-    """To the controller: what it is told becomes events for `tell`; votes get their answer from there, from the clock
-    (`answer_wait`) or at once when the link is down."""
-
-    def __init__(self, me, to, kept, answer_wait, tell, log, signal_address, on_peers, chance, on_list):
-        super().__init__(to, log, chance, "control")
-        self.me, self.kept, self.answer_wait, self.tell = me, kept, answer_wait, tell
+    """The link to the controller. Received messages become events for `tell`.
+
+    Each vote gets an answer as an event: the controller's, a time-out after `answer_wait` ms, or an error at
+    once while the link is down."""
+
+    def __init__(
+        self, proxy_number, to, node_list, answer_wait, tell, log, signal_address, on_peers, random, on_list
+    ):
+        """`node_list` is the list that the proxy holds; its revision and epoch are sent in the hello.
+        `on_peers(message)` and `on_list(message)` receive the messages of these names."""
+        super().__init__(to, log, random, "control")
+        self.proxy_number, self.node_list, self.answer_wait, self.tell = (
+            proxy_number,
+            node_list,
+            answer_wait,
+            tell,
+        )
         self.signal_address, self.on_peers, self.on_list = signal_address, on_peers, on_list
-        self.waiting, self.number, self.epochs = {}, 0, Epochs()
+        self.pending_votes, self.last_vote_number, self.epochs = {}, 0, Epochs()
         self.check = self.epochs.check
 
     def hello(self):
-        self.epochs.newest = max(self.epochs.newest, self.kept.epoch)
+        """Returns the first message of a stream."""
+        self.epochs.newest = max(self.epochs.newest, self.node_list.epoch)
         return c.Hello(
             role=c.PROXY,
-            id=str(self.me),
-            revision=self.kept.revision,
-            epoch=self.kept.epoch,
+            id=str(self.proxy_number),
+            revision=self.node_list.revision,
+            epoch=self.node_list.epoch,
             signal_address=self.signal_address,
         )
 
-    def lost(self):
-        for number in list(self.waiting):
-            self.answered(number, TIMEOUT)  # it may have been heard
+    def disconnected(self):
+        for number in list(self.pending_votes):
+            self.complete_vote(number, TIMEOUT)  # the controller may have counted it
 
-    # ---- what is told ----
+    # ---- received messages ----
 
     def on_refusal(self, message):
+        """The peer refuses this link, as a standby does."""
         self.turned_away = True
         self.log.info("control refuses", why=message.why)
 
     def on_welcome(self, message):
+        """The controller has accepted this link."""
         self.log.info("control up", epoch=message.epoch)
 
-    def on_stage(self, m):
-        if m.answer:
-            if m.number in self.waiting:
-                self.answered(m.number, STATUS.get(m.status, ERROR), m)
+    def on_stage(self, message):
+        """A new stage, or the answer to a vote of this proxy."""
+        if message.answer:
+            if message.number in self.pending_votes:
+                self.complete_vote(message.number, STATUS_BY_CODE.get(message.status, ERROR), message)
             return
-        self.tell("stage_told", False, m.stage, m.since, m.cap, SUCCEEDED, m.ver, m.phase)
+        self.tell(
+            "stage_told",
+            False,
+            message.stage,
+            message.since,
+            message.cap,
+            SUCCEEDED,
+            message.ver,
+            message.phase,
+        )
 
     def on_tally(self, message):
+        """The outcomes that all proxies counted, by build and operation."""
         for row in message.rows:
             mean = row.taken / max(1, row.dispatches - row.bad)
             self.tell("tally", row.dispatches, message.age, row.bad, mean, row.operation, row.ver)
 
     # ---- votes ----
 
-    def vote(self, stage, ver, verdict, figures=""):
-        self.number += 1
-        number = self.number
+    def vote(self, stage, build, verdict, figures=""):
+        """Sends a vote; its answer arrives as an event."""
+        self.last_vote_number += 1
+        number = self.last_vote_number
         packed = frames.pack(
-            vote=c.Vote(number=number, stage=stage, ver=ver, verdict=verdict, figures=figures[:400])
+            vote=c.Vote(number=number, stage=stage, ver=build, verdict=verdict, figures=figures[:400])
         )
         if not self.up or not self.out.put(packed):
-            self.tell("stage_told", True, stage, 0.0, 0.0, ERROR, ver, 0)
+            self.tell("stage_told", True, stage, 0.0, 0.0, ERROR, build, 0)
             return
-        self.waiting[number] = stage, ver, host.later(self.answer_wait, self.answered, number, TIMEOUT)
+        self.pending_votes[number] = (
+            stage,
+            build,
+            host.later(self.answer_wait, self.complete_vote, number, TIMEOUT),
+        )
 
-    def answered(self, number, status, m=None):
-        stage, ver, timer = self.waiting.pop(number, (None, None, None))
+    def complete_vote(self, number, status, message=None):
+        """Reports the answer to a pending vote; `message` is the controller's answer, if there was one."""
+        stage, build, timer = self.pending_votes.pop(number, (None, None, None))
         if timer is None:
             return
         if status != TIMEOUT:
             host.stop(timer)
-        if m is None:
-            m = c.Stage(stage=stage, ver=ver, cap=0.0, phase=0)
-        self.tell("stage_told", True, m.stage, m.since, m.cap, status, m.ver, m.phase)
+        if message is None:
+            message = c.Stage(stage=stage, ver=build, cap=0.0, phase=0)
+        self.tell(
+            "stage_told",
+            True,
+            message.stage,
+            message.since,
+            message.cap,
+            status,
+            message.ver,
+            message.phase,
+        )
 
     def counts(self, rows):
+        """Sends the outcomes that this proxy counted; they are dropped while the link is down."""
         if self.up:
             self.out.put(frames.pack(counts=c.Counts(rows=rows)))
 
     def ask_whole(self):
+        """Requests the whole node list."""
         if not self.up or not self.out.put(frames.pack(ask=c.Ask(whole=True))):
             self.tell("listed", "failed", ())
