--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -1,4 +1,7 @@
-"""Members on sockets: one port for datagrams, the core's messages in and out, and what it sees in the log. Hints only."""
+"""Membership of one proxy on its datagram port: the core's messages in and out, and its findings in the log.
+
+What membership reports is a hint, never a proof.
+"""
 
 from collections import Counter
 
@@ -6,98 +9,114 @@
 from ..members.core import ALIVE, GONE, LEFT, SUSPECT, Members
 from ..wire import duties as lease, members as wire
 
-WORDS = {ALIVE: "alive", SUSPECT: "suspected", GONE: "gone", LEFT: "left"}
+STATE_NAMES = {ALIVE: "alive", SUSPECT: "suspected", GONE: "gone", LEFT: "left"}
 
 
 class Membership:
-    def __init__(self, mine, zones, log, chance):
-        """`mine` is a checked Proxy with mates, itself among them; `zones` names of the fleet's. Raises ValueError."""
-        self.log, self.fleet, self.dropped, self.said = log, wire.fleet_of(mine.member_fleet), Counter(), {}
+    """Runs the membership protocol (members/core.py). `dropped` counts the rejected datagrams by reason, and
+    `sent` those sent."""
+
+    def __init__(self, mine, zones, log, random):
+        """`mine` is a checked Proxy whose mates include itself, and `zones` are the names of the fleet's.
+
+        Raises ValueError for mates that are duplicate, incomplete or in unknown zones."""
+        self.log, self.fleet, self.dropped, self.reported = (
+            log,
+            wire.fleet_of(mine.member_fleet),
+            Counter(),
+            {},
+        )
         self.addresses = {mate.number: mate.address for mate in mine.mate}
         if len(self.addresses) < len(mine.mate):
             raise ValueError("mate: two of one number")
         if mine.me not in self.addresses:
-            raise ValueError(f"mate: this proxy, {mine.me}, is not among them")
+            raise ValueError(f"mate: this proxy, number {mine.me}, is not among the mates")
         for mate in mine.mate:
             host.address(mate.address)
             if mate.zone not in zones:
                 raise ValueError(f"mate {mate.number}: no zone '{mate.zone}' in the fleet")
-        self.numbers = {address: number for number, address in self.addresses.items()}
+        self.numbers_by_address = {address: number for number, address in self.addresses.items()}
         self.core = Members(
-            mine.me, {m.number: m.zone for m in mine.mate}, mine.member_period, chance, host.now()
+            mine.me, {m.number: m.zone for m in mine.mate}, mine.member_period, random, host.now()
         )
         self.me, self.period = mine.me, mine.member_period
         self.port = host.Datagrams(mine.member_listen or self.addresses[mine.me])
         self.stopped, self.sent = False, 0
-        self.duties = None  # told of the words of leases, which come in at the same port
+        self.duties = None  # receives the lease messages, which arrive at the same port
 
-    # ---- the core's way out ----
+    # ---- called by the core ----
 
     def send(self, number, message):
+        """Sends a message of the membership protocol to a member."""
         self.put(number, wire.pack(self.fleet, self.me, message))
 
     def put(self, number, data):
-        """One datagram to a member, of whatever kind."""
+        """Sends one datagram of any kind to a member."""
         self.sent += 1
         self.port.send(self.addresses[number], data)
 
     def changed(self, number, state):
-        self.log.info("member", number=number, state=WORDS[state])
+        """Logs the new state of a member."""
+        self.log.info("member", number=number, state=STATE_NAMES[state])
 
     # ---- greenlets ----
 
     def run(self):
+        """Runs the timers of the protocol until `stop`."""
         while not self.stopped:
             host.sleep(max(0.0, self.core.due_at() - host.now()))
             if not self.stopped:
                 self.core.tick(host.now(), self)
-                self.tell()
+                self.log_connectivity()
 
     def hear(self):
-        while (got := self.port.recv(1024)) is not None:
-            data, sender = got
+        """Receives datagrams until the port is closed."""
+        while (datagram := self.port.recv(1024)) is not None:
+            data, sender = datagram
             try:
-                name, told = wire.body(data)
+                name, body = wire.body(data)
                 if name == "lease" and self.duties:
-                    source, duty, message = lease.unpack(self.fleet, told, self.core.members)
+                    source, duty, message = lease.unpack(self.fleet, body, self.core.members)
                 elif name == "gossip":
-                    source, message = wire.unpack_gossip(self.fleet, told, self.core.members)
+                    source, message = wire.unpack_gossip(self.fleet, body, self.core.members)
                 else:
                     raise wire.Bad("garbage")
-                if self.numbers.get(sender) != source:
+                if self.numbers_by_address.get(sender) != source:
                     raise wire.Bad(
                         "address"
-                    )  # another process there, or one that calls itself what it is not
+                    )  # another process has the address, or the sender uses the number of another member
                 if name == "lease":
                     self.duties.hear(source, duty, message)
                     continue
-            except wire.Bad as bad:
-                self.dropped[str(bad)] += 1
+            except wire.Bad as error:
+                self.dropped[str(error)] += 1
                 continue
             self.core.receive(host.now(), source, message, self)
 
-    def tell(self):
-        """The three things that look alike, as each begins and ends."""
+    def log_connectivity(self):
+        """Logs when one of three conditions, which look alike from inside, begins or ends: no member of a
+        zone is heard, no member at all is heard, or no member answers."""
         now = host.now()
-        standing = self.core.connectivity(now)
-        found = {f"hears nobody of {zone}": ms for zone, ms in standing["zones"].items()}
-        found |= {
-            what: standing[key]
-            for key, what in (("alone", "hears nobody"), ("unheard", "nobody answers"))
-            if standing[key]
+        connectivity = self.core.connectivity(now)
+        conditions = {f"hears nobody of {zone}": ms for zone, ms in connectivity["zones"].items()}
+        conditions |= {
+            condition: connectivity[key]
+            for key, condition in (("alone", "hears nobody"), ("unheard", "nobody answers"))
+            if connectivity[key]
         }
-        for what, ms in found.items():
-            if what not in self.said:
-                self.log.warning(what, for_ms=round(ms))
-        for what in self.said.keys() - found.keys():
-            self.log.info(f"no longer: {what}")
-        self.said = found
+        for condition, ms in conditions.items():
+            if condition not in self.reported:
+                self.log.warning(condition, for_ms=round(ms))
+        for condition in self.reported.keys() - conditions.keys():
+            self.log.info(f"no longer: {condition}")
+        self.reported = conditions
 
     def counts(self):
-        """{state: members}, this one among the alive."""
-        return Counter(WORDS[m.state] for m in self.core.members.values())
+        """Returns {state: number of members}; this proxy counts as alive."""
+        return Counter(STATE_NAMES[m.state] for m in self.core.members.values())
 
     def stop(self):
+        """Tells the members that this proxy leaves, and closes the port."""
         if not self.stopped:
             self.stopped = True
             self.core.leave(host.now(), self)
