--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -1,4 +1,6 @@
-"""gannet-proxy assembled: listener, rounds, pools, links; start, reload of the list from disk, graceful stop."""
+"""The proxy process: creates and connects its parts, starts them with the persisted node list, and stops them
+gracefully.
+"""
 
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
@@ -22,11 +24,16 @@
 
 
 class Proxy:
+    """One proxy: its parts, its metrics and the tallies of outcomes that it sends to the controller."""
+
     def __init__(self, fleet, mine, log, acts=None):
-        """`fleet` and `mine` are checked messages of the schema (Fleet, Proxy); `acts` is a Table for what duties had done here."""
+        """`fleet` and `mine` are checked messages of the schema (Fleet, Proxy).
+
+        `acts` is a Table for the acts that duties had this proxy execute. Raises OSError, ValueError or
+        load.BadSetting."""
         facts = load.deployment(fleet, mine.me, mine.zone, mine.wire_lag)
         self.log, self.stop_limit = log, mine.stop_limit
-        self.kept, self.stage, self.began = PersistedNodeList(), None, host.now()
+        self.kept, self.stage, self.started_at = PersistedNodeList(), None, host.now()
         self.file = KeptFile(mine.state_file, lambda: self.kept.pack(host.now()), "list", log)
         self.pools = Pools(mine.pool_cap, mine.pool_idle, mine.connect_limit)
         self.rounds = RoundLoop(
@@ -39,18 +46,20 @@
             mine.me,
             invocation,
         )
-        self.rounds.on_restart = self.refill
+        self.rounds.on_restart = self.restore_balancer
         self.rounds.set_retry_advice(facts, retry_delay, host.chance(mine.seed, 5))
-        self.rounds.build_of = lambda addr: self.kept.nodes[addr][0][2] if addr in self.kept.nodes else 0
+        self.rounds.build_of = lambda address: (
+            self.kept.nodes[address][0][2] if address in self.kept.nodes else 0
+        )
         self.warm_within = facts.warm_within
-        self.ops = [o.name for o in fleet.operation]
+        self.operation_names = [o.name for o in fleet.operation]
         operations = {o.name.encode(): n for n, o in enumerate(fleet.operation)}
         if mine.trail:
             host.make_folder(mine.trail)
             self.rounds.trail = Trail(mine.trail, log, mine.trail_delay, patience=mine.trail_patience)
             self.rounds.needs_trail = [o.effect == SIDE_EFFECTING for o in facts.operations]
-        streams, duty = {m.number: m.duties for m in mine.mate}, {d.name: d for d in mine.duty}
-        at = streams.get(mine.me, "") if "tenants" in duty else mine.tenants
+        streams, duties_by_name = {m.number: m.duties for m in mine.mate}, {d.name: d for d in mine.duty}
+        tenants_address = streams.get(mine.me, "") if "tenants" in duties_by_name else mine.tenants
         self.tenants = (
             Tenants(
                 mine,
@@ -58,10 +67,10 @@
                 self.rounds.put_event,
                 log,
                 host.chance(mine.seed, 4),
-                at,
-                "tenants" if "tenants" in duty else "",
+                tenants_address,
+                "tenants" if "tenants" in duties_by_name else "",
             )
-            if at
+            if tenants_address
             else Listed(fleet.tenant)
         )
         self.clients = Clients(
@@ -72,7 +81,7 @@
             [(o.time_limit, mine.answer_margin) for o in fleet.operation],
             mine.read_limit,
             mine.idle_limit,
-            self.inside,
+            self.internal_page,
             log,
         )
         self.signals = Signals(mine.me, mine.signal_listen, self.rounds.put_event)
@@ -81,7 +90,7 @@
             mine.control,
             self.kept,
             facts.rollout.answer_wait,
-            self.told,
+            self.on_control_event,
             log,
             self.signals.port.where,
             self.signals.on_peers,
@@ -99,103 +108,129 @@
         )
         if self.sites:
             self.sites.staged = lambda: self.stage
-        self.duties = duties_of(self, mine, streams, log, acts) if mine.duty else None
+        self.duties = make_duties(self, mine, streams, log, acts) if mine.duty else None
         self.done = host.Once()
-        self.most_clients, self.listen = mine.most_clients, mine.listen
-        self.sampled, self.share, self.period = {}, facts.rollout.tally_share, facts.rollout.tally_period
-        self.chance = host.chance(mine.seed, 2)
+        self.max_clients, self.listen_address = mine.most_clients, mine.listen
+        self.tallies, self.sample_share, self.tally_period = (
+            {},
+            facts.rollout.tally_share,
+            facts.rollout.tally_period,
+        )
+        self.random = host.chance(mine.seed, 2)
         self.rounds.on_outcome = (
-            self.saw if self.sites else self.sample if self.period else self.rounds.on_outcome
+            self.record_outcome
+            if self.sites
+            else self.sample_outcome
+            if self.tally_period
+            else self.rounds.on_outcome
         )
 
-    # ---- lists and stages on their way to the decisions ----
+    # ---- node lists and stages for the balancer ----
 
-    def told(self, name, *fields):
+    def on_control_event(self, name, *fields):
+        """Passes an event of the control link to the balancer; keeps the last stage."""
         if name == "stage_told" and not fields[0]:
             self.stage = fields
         self.rounds.put_event(name, *fields)
 
     def on_list(self, message):
+        """Applies a node list message, whole or changes, and passes it to the balancer."""
         if message.failed:
             self.rounds.put_event("listed", "failed", ())
             return
-        took = self.kept.apply(message, host.now())
-        if took is None:
-            self.log.warning("list change missed", held=self.kept.revision, told=message.revision)
+        applied = self.kept.apply(message, host.now())
+        if applied is None:
+            self.log.warning(
+                "node list change missed; requesting the whole list",
+                held=self.kept.revision,
+                told=message.revision,
+            )
             self.link.ask_whole()
             return
         self.file.changed()
-        self.log.info("list", kind=took[0], revision=message.revision, nodes=len(self.kept.nodes))
-        self.rounds.put_event("listed", took[0], self.seen(took[1]))
+        self.log.info("list", kind=applied[0], revision=message.revision, nodes=len(self.kept.nodes))
+        self.rounds.put_event("listed", applied[0], self.adjusted_entries(applied[1]))
 
-    def refill(self):
+    def restore_balancer(self):
+        """Gives a restarted balancer the node list, the stage and the tenants' portions."""
         self.rounds.put_event(
-            "listed", "whole", self.seen(tuple(entry for entry, _ in self.kept.nodes.values()))
+            "listed", "whole", self.adjusted_entries(tuple(entry for entry, _ in self.kept.nodes.values()))
         )
         if self.stage:
             self.rounds.put_event("stage_told", *self.stage)
         self.tenants.refill()
 
-    def seen(self, entries):
-        """As the decisions are to have them."""
+    def adjusted_entries(self, entries):
+        """Returns the entries as the balancer is to have them, with site weights if sites are monitored."""
         return self.sites.entries_for_decisions(entries) if self.sites else entries
 
-    def read_kept(self):
+    def read_persisted_list(self):
+        """Passes the persisted node list, if there is a readable one, to the balancer."""
         data = host.read_file(self.file.path)
-        known = self.kept.unpack(data, host.now())
-        if data and not known:
-            self.log.warning("kept list unreadable", file=self.file.path)
+        readable = self.kept.unpack(data, host.now())
+        if data and not readable:
+            self.log.warning("persisted node list unreadable", file=self.file.path)
         self.rounds.put_event("listed", "kept", tuple(entry for entry, _ in self.kept.nodes.values()))
 
-    def sweep(self):
+    def sweep_pools(self):
+        """Closes connections that were idle too long or lead to nodes that are no longer listed."""
         while True:
             host.sleep(250)
             self.pools.sweep(self.kept.nodes)
 
-    def weather(self):
-        """A storm as it begins and ends, in the log."""
+    def watch_storms(self):
+        """Logs when a storm starts and when it ends."""
         while True:
             host.sleep(500)
             entries = [e for e, _ in self.kept.nodes.values()]
             ready = [e for e in entries if e[5] == "ready"]
             cold = sum(1 for e in ready if e[7] and host.now() - e[7] < self.warm_within)
             self.rounds.watch.on_nodes(len(ready), cold, len(entries))
-            for what, facts in self.rounds.watch.tick(host.now()):
-                (self.log.warning if what == "storm" else self.log.info)(what, **facts)
+            for event, facts in self.rounds.watch.tick(host.now()):
+                (self.log.warning if event == "storm" else self.log.info)(event, **facts)
 
-    def saw(self, addr, op, status, took):
-        """How a dispatch ended: of use for what is said of zones, and, where they are taken, for tallies."""
-        self.sites.on_outcome(addr, op, status, took)
-        if self.period:
-            self.sample(addr, op, status, took)
+    def record_outcome(self, address, operation, status, duration):
+        """Records how a dispatch ended, for the state of zones and, if these are collected, for tallies."""
+        self.sites.on_outcome(address, operation, status, duration)
+        if self.tally_period:
+            self.sample_outcome(address, operation, status, duration)
 
     # ---- tallies ----
 
-    def sample(self, addr, op, status, took):
-        if status in (MOOT, CANCELLED) or addr not in self.kept.nodes or self.chance.random() >= self.share:
+    def sample_outcome(self, address, operation, status, duration):
+        """Adds the outcome to the tallies if it is in the random sample."""
+        if (
+            status in (MOOT, CANCELLED)
+            or address not in self.kept.nodes
+            or self.random.random() >= self.sample_share
+        ):
             return
-        row = self.sampled.setdefault((self.kept.nodes[addr][0][2], op), [0, 0, 0.0])
+        row = self.tallies.setdefault((self.kept.nodes[address][0][2], operation), [0, 0, 0.0])
         row[0] += 1
         if status == SUCCEEDED:
-            row[2] += took
+            row[2] += duration
         else:
             row[1] += 1
 
-    def send_counts(self):
+    def send_tallies(self):
+        """Sends the tallies to the controller twice in each period."""
         while True:
-            host.sleep(self.period / 2)
-            rows, self.sampled = self.sampled, {}
+            host.sleep(self.tally_period / 2)
+            rows, self.tallies = self.tallies, {}
             if rows:
                 self.link.counts(
                     [
-                        c.Count(ver=ver, operation=op, dispatches=n, bad=bad, taken=taken)
-                        for (ver, op), (n, bad, taken) in rows.items()
+                        c.Count(
+                            ver=build, operation=operation, dispatches=dispatches, bad=failed, taken=taken
+                        )
+                        for (build, operation), (dispatches, failed, taken) in rows.items()
                     ]
                 )
 
-    # ---- asked of the proxy itself ----
+    # ---- pages of the proxy itself ----
 
-    def inside(self, url, keep):
+    def internal_page(self, url, keep):
+        """Answers a request for a page of the proxy; returns (answer, whether the connection stays open)."""
         if url == b"/-/healthy":
             return http.answer(200, [], b"ok\n", keep), keep
         if url == b"/-/ready":
@@ -207,20 +242,25 @@
             ), keep
         if url == b"/-/refused":
             return http.answer(
-                200, [(b"content-type", b"text/plain")], self.rounds.watch.report(self.ops).encode(), keep
+                200,
+                [(b"content-type", b"text/plain")],
+                self.rounds.watch.report(self.operation_names).encode(),
+                keep,
             ), keep
         return http.answer(404, [], b"not here\n", keep), keep
 
     def metrics(self):
+        """Returns the metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
     def collect(self):
+        """Yields the metric families; called by the registry."""
         rounds = self.rounds
-        ends = CounterMetricFamily("gannet_invocations", "final answers", labels=("operation", "answer"))
-        for (kind, op), count in sorted(rounds.answer_counts.items()):
-            ends.add_metric((self.ops[op], kind), count)
-        yield ends
-        for name, what, value in (
+        answers = CounterMetricFamily("gannet_invocations", "final answers", labels=("operation", "answer"))
+        for (kind, operation), count in sorted(rounds.answer_counts.items()):
+            answers.add_metric((self.operation_names[operation], kind), count)
+        yield answers
+        for name, description, value in (
             ("held", "open invocations", len(rounds.held)),
             ("in_flight", "dispatches out", len(rounds.flights)),
             ("clients", "client connections", len(self.clients.open)),
@@ -264,51 +304,52 @@
                 else []
             ),
         ):
-            yield GaugeMetricFamily("gannet_" + name, what, value=value)
+            yield GaugeMetricFamily("gannet_" + name, description, value=value)
         if self.sites:
             yield from self.sites.metrics()
         if self.duties:
             yield from self.duties.metrics()
 
-    # ---- life ----
+    # ---- start and stop ----
 
     def start(self):
+        """Opens the listener and starts all greenlets; raises OSError if an address cannot be used."""
         self.registry = CollectorRegistry()
         self.registry.register(self)
-        self.read_kept()
-        self.listener = host.Listener(self.listen)
+        self.read_persisted_list()
+        self.listener = host.Listener(self.listen_address)
         self.greenlets = [
             host.spawn(call)
             for call in (
                 self.rounds.run,
                 self.link.run,
                 self.signals.run,
-                self.sweep,
+                self.sweep_pools,
                 self.file.run,
-                self.weather,
+                self.watch_storms,
                 *self.tenants.start(),
                 *([self.rounds.trail.run] if self.rounds.trail else []),
                 *([self.members.run, self.members.hear] if self.members else []),
                 *([self.sites.run] if self.sites else []),
-                *([self.send_counts] if self.period else []),
+                *([self.send_tallies] if self.tally_period else []),
             )
         ]
         if self.duties:
             self.greenlets += self.duties.start()
         self.greenlets.append(
-            host.spawn(host.serve, self.listener, self.clients.handle, self.log, self.most_clients)
+            host.spawn(host.serve, self.listener, self.clients.handle, self.log, self.max_clients)
         )
         self.log.info(
             "serving", at=self.listener.where, signals=self.signals.port.where, nodes=len(self.kept.nodes)
         )
 
     def stop(self):
-        """Takes nothing new, answers what it holds, ends within the stop limit."""
+        """Stops accepting requests, answers the held ones and ends within the stop limit."""
         if self.clients.stopping:
             return
         self.clients.stopping = True
         self.log.info("stopping", held=len(self.rounds.held))
-        # What the machine has accepted was taken: it gets its answer too.
+        # Connections that the kernel has accepted already get their answers too.
         for stream in self.listener.backlog():
             host.spawn(self.clients.handle, stream)
         self.listener.close()
@@ -316,9 +357,9 @@
             self.duties.stop()
         if self.members:
             self.members.stop()
-        end = host.now() + self.stop_limit
-        host.sleep(0)  # those just spawned are among the open ones
-        while host.now() < end and any(s in self.clients.busy or s.waiting() for s in self.clients.open):
+        deadline = host.now() + self.stop_limit
+        host.sleep(0)  # lets the greenlets just spawned add their connections to the open ones
+        while host.now() < deadline and any(s in self.clients.busy or s.waiting() for s in self.clients.open):
             host.sleep(10)
         for held in list(self.rounds.held.values()):
             self.rounds.carrier.finish(held, "terminated", False)
@@ -326,47 +367,49 @@
         for stream in list(self.clients.open):
             stream.close()
         if self.rounds.trail:
-            self.rounds.trail.close(max(100.0, end - host.now()))
+            self.rounds.trail.close(max(100.0, deadline - host.now()))
         self.log.info("stopped", unanswered=len(self.clients.busy))
         self.done.set()
 
 
-def duties_of(proxy, mine, streams, log, acts):
-    """The duties of the settings (checked: config/load.py), made; raises ValueError or BadSetting."""
-    # Here: a proxy without duties loads none of it.
+def make_duties(proxy, mine, streams, log, acts):
+    """Creates the duties of the settings (checked by config/load.py); raises ValueError or BadSetting."""
+    # Imported here, so that a proxy without duties does not load these modules.
     from ..duties.returning import Returning
     from ..duties.seal import Sealing
     from ..duties.shell import Duties
-    from ..duties.tenants import Tenants as Reading
+    from ..duties.tenants import Tenants as TenantsDuty
 
-    made = {}
-    for d in mine.duty:
-        if d.name == "seal":
-            made[d.name] = Sealing(d, proxy.rounds.trail, log)
-        elif d.name == "site-return":
+    duties = {}
+    for settings in mine.duty:
+        if settings.name == "seal":
+            duties[settings.name] = Sealing(settings, proxy.rounds.trail, log)
+        elif settings.name == "site-return":
             if not (proxy.sites and proxy.sites.shedding):
                 raise ValueError(
-                    "duty site-return: the fleet's settings do not have site_acts, so there is nothing to lead"
+                    "duty site-return needs the fleet's site_acts: without it there is no return to lead"
                 )
-            made[d.name] = Returning(d, proxy.sites, f"{mine.state_file}.site-return", log)
+            duties[settings.name] = Returning(settings, proxy.sites, f"{mine.state_file}.site-return", log)
         else:
-            made[d.name] = Reading(
-                load.read(load.schema.Directory, d.directory),
+            duties[settings.name] = TenantsDuty(
+                load.read(load.schema.Directory, settings.directory),
                 proxy.tenants,
                 streams,
                 log,
                 host.chance(mine.seed, 7),
             )
 
-    def acted(duty, token, step, how, why, at=None):
+    def record_act(duty, token, step, how, why, at=None):
         if acts:
             acts.add(host.stamp() if at is None else at, duty, str(mine.me), *token, step, how, why)
             acts.flush()
 
-    if "tenants" in made:
-        proxy.tenants.acted = lambda *what: acted("tenants", *what)
+    if "tenants" in duties:
+        proxy.tenants.acted = lambda *fields: record_act("tenants", *fields)
 
-    def busy():
+    def load_share():
         return min(1.0, len(proxy.rounds.held) / mine.most_held)
 
-    return Duties(mine, proxy.members, made, busy, log, host.chance(mine.seed, 8, host.birth()), acted)
+    return Duties(
+        mine, proxy.members, duties, load_share, log, host.chance(mine.seed, 8, host.birth()), record_act
+    )
