--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -1,5 +1,5 @@
-"""The tenants that a proxy admits: those of the fleet's settings, or those of the views that a directory reader
-distributes.
+"""The tenants that a proxy admits: those of the fleet's settings, or those of the views that a directory
+reader distributes.
 """
 
 from .. import host
