--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -33,8 +33,8 @@
         load.BadSetting."""
         facts = load.deployment(fleet, mine.me, mine.zone, mine.wire_lag)
         self.log, self.stop_limit = log, mine.stop_limit
-        self.kept, self.stage, self.started_at = PersistedNodeList(), None, host.now()
-        self.file = KeptFile(mine.state_file, lambda: self.kept.pack(host.now()), "list", log)
+        self.node_list, self.stage, self.started_at = PersistedNodeList(), None, host.now()
+        self.file = KeptFile(mine.state_file, lambda: self.node_list.pack(host.now()), "list", log)
         self.pools = Pools(mine.pool_cap, mine.pool_idle, mine.connect_limit)
         self.rounds = RoundLoop(
             lambda: Balancer(mine.seed, facts),
@@ -49,7 +49,7 @@
         self.rounds.on_restart = self.restore_balancer
         self.rounds.set_retry_advice(facts, retry_delay, host.chance(mine.seed, 5))
         self.rounds.build_of = lambda address: (
-            self.kept.nodes[address][0][2] if address in self.kept.nodes else 0
+            self.node_list.nodes[address][0][2] if address in self.node_list.nodes else 0
         )
         self.warm_within = facts.warm_within
         self.operation_names = [o.name for o in fleet.operation]
@@ -88,7 +88,7 @@
         self.link = ControlLink(
             mine.me,
             mine.control,
-            self.kept,
+            self.node_list,
             facts.rollout.answer_wait,
             self.on_control_event,
             log,
@@ -101,7 +101,7 @@
         self.members = Membership(mine, fleet.zone, log, host.chance(mine.seed, 6)) if mine.mate else None
         self.sites = (
             ProxySites(
-                fleet, mine, facts, self.rounds, self.kept, self.members, log, host.chance(mine.seed, 9)
+                fleet, mine, facts, self.rounds, self.node_list, self.members, log, host.chance(mine.seed, 9)
             )
             if self.members or fleet.site_acts
             else None
@@ -138,23 +138,25 @@
         if message.failed:
             self.rounds.put_event("listed", "failed", ())
             return
-        applied = self.kept.apply(message, host.now())
+        applied = self.node_list.apply(message, host.now())
         if applied is None:
             self.log.warning(
                 "node list change missed; requesting the whole list",
-                held=self.kept.revision,
+                held=self.node_list.revision,
                 told=message.revision,
             )
             self.link.ask_whole()
             return
         self.file.changed()
-        self.log.info("list", kind=applied[0], revision=message.revision, nodes=len(self.kept.nodes))
+        self.log.info("list", kind=applied[0], revision=message.revision, nodes=len(self.node_list.nodes))
         self.rounds.put_event("listed", applied[0], self.adjusted_entries(applied[1]))
 
     def restore_balancer(self):
         """Gives a restarted balancer the node list, the stage and the tenants' portions."""
         self.rounds.put_event(
-            "listed", "whole", self.adjusted_entries(tuple(entry for entry, _ in self.kept.nodes.values()))
+            "listed",
+            "whole",
+            self.adjusted_entries(tuple(entry for entry, _ in self.node_list.nodes.values())),
         )
         if self.stage:
             self.rounds.put_event("stage_told", *self.stage)
@@ -167,22 +169,22 @@
     def read_persisted_list(self):
         """Passes the persisted node list, if there is a readable one, to the balancer."""
         data = host.read_file(self.file.path)
-        readable = self.kept.unpack(data, host.now())
+        readable = self.node_list.unpack(data, host.now())
         if data and not readable:
             self.log.warning("persisted node list unreadable", file=self.file.path)
-        self.rounds.put_event("listed", "kept", tuple(entry for entry, _ in self.kept.nodes.values()))
+        self.rounds.put_event("listed", "kept", tuple(entry for entry, _ in self.node_list.nodes.values()))
 
     def sweep_pools(self):
         """Closes connections that were idle too long or lead to nodes that are no longer listed."""
         while True:
             host.sleep(250)
-            self.pools.sweep(self.kept.nodes)
+            self.pools.sweep(self.node_list.nodes)
 
     def watch_storms(self):
         """Logs when a storm starts and when it ends."""
         while True:
             host.sleep(500)
-            entries = [e for e, _ in self.kept.nodes.values()]
+            entries = [e for e, _ in self.node_list.nodes.values()]
             ready = [e for e in entries if e[5] == "ready"]
             cold = sum(1 for e in ready if e[7] and host.now() - e[7] < self.warm_within)
             self.rounds.watch.on_nodes(len(ready), cold, len(entries))
@@ -201,11 +203,11 @@
         """Adds the outcome to the tallies if it is in the random sample."""
         if (
             status in (MOOT, CANCELLED)
-            or address not in self.kept.nodes
+            or address not in self.node_list.nodes
             or self.random.random() >= self.sample_share
         ):
             return
-        row = self.tallies.setdefault((self.kept.nodes[address][0][2], operation), [0, 0, 0.0])
+        row = self.tallies.setdefault((self.node_list.nodes[address][0][2], operation), [0, 0, 0.0])
         row[0] += 1
         if status == SUCCEEDED:
             row[2] += duration
@@ -234,7 +236,9 @@
         if url == b"/-/healthy":
             return http.answer(200, [], b"ok\n", keep), keep
         if url == b"/-/ready":
-            ready = any(e[5] == "ready" for e, _ in self.kept.nodes.values()) and not self.clients.stopping
+            ready = (
+                any(e[5] == "ready" for e, _ in self.node_list.nodes.values()) and not self.clients.stopping
+            )
             return http.answer(200 if ready else 503, [], b"ready\n" if ready else b"no nodes\n", keep), keep
         if url == b"/-/metrics":
             return http.answer(
@@ -265,11 +269,11 @@
             ("in_flight", "dispatches out", len(rounds.flights)),
             ("clients", "client connections", len(self.clients.open)),
             ("node_connections", "connections to nodes", self.pools.size()),
-            ("nodes", "nodes listed", len(self.kept.nodes)),
+            ("nodes", "nodes listed", len(self.node_list.nodes)),
             ("control_up", "link to the controller", self.link.up),
             ("tenant_view", "view of tenants in force", self.tenants.number()),
             ("tenant_view_age_ms", "since the directory confirmed it", min(1e12, self.tenants.age())),
-            ("list_revision", "list held", self.kept.revision),
+            ("list_revision", "list held", self.node_list.revision),
             ("decision_ms", "time spent in decisions", rounds.decision_time),
             ("rounds", "rounds", rounds.round_count),
             ("list_not_kept", "the list held is newer than its file", self.file.behind),
@@ -340,7 +344,10 @@
             host.spawn(host.serve, self.listener, self.clients.handle, self.log, self.max_clients)
         )
         self.log.info(
-            "serving", at=self.listener.where, signals=self.signals.port.where, nodes=len(self.kept.nodes)
+            "serving",
+            at=self.listener.where,
+            signals=self.signals.port.where,
+            nodes=len(self.node_list.nodes),
         )
 
     def stop(self):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -384,7 +384,7 @@
     host.sleep(20)
     rig.list(rig.nodes[0], build=2, incarnation=2, age=100.0)
     rig.until(lambda: rig.proxy.rounds.balancer.servers[rig.nodes[0].at].build == 2)
-    assert rig.proxy.kept.nodes[rig.nodes[0].at][1] == 2
+    assert rig.proxy.node_list.nodes[rig.nodes[0].at][1] == 2
 
 
 def test_link_resumes_after_missed_changes(make_rig):
@@ -398,7 +398,7 @@
     rig.list(rig.nodes[0], c.GONE)
     assert rig.ask()[2].body == b"one"  # served from the last list while the link is down
     rig.controller.blocked_proxies.clear()
-    rig.until(lambda: rig.proxy.kept.revision == rig.controller.revision)
+    rig.until(lambda: rig.proxy.node_list.revision == rig.controller.revision)
     assert [h[0] for h in rig.controller.history] == [1, 2, 3]
     host.sleep(20)
     assert rig.ask()[2].body == b"two" and rig.log.said("proxy here")[-1]["missed"] == 2
@@ -421,7 +421,7 @@
     for n in range(5):
         rig.list(rig.nodes[0], incarnation=n + 2, age=1.0)
     rig.controller.blocked_proxies.clear()
-    rig.until(lambda: rig.proxy.kept.revision == rig.controller.revision)
+    rig.until(lambda: rig.proxy.node_list.revision == rig.controller.revision)
     assert rig.log.said("proxy here")[-1]["resumed"] is False
 
 
@@ -473,11 +473,11 @@
 
 def test_damaged_list_file_is_ignored(make_rig):
     rig = make_rig(Node())
-    data = rig.proxy.kept.pack(host.now())
+    data = rig.proxy.node_list.pack(host.now())
     for cut in (0, 5, 20, len(data) - 1):
-        fresh = type(rig.proxy.kept)()
+        fresh = type(rig.proxy.node_list)()
         assert not fresh.unpack(data[:cut], host.now()) and not fresh.nodes
-    fresh = type(rig.proxy.kept)()
+    fresh = type(rig.proxy.node_list)()
     assert fresh.unpack(data, host.now()) and list(fresh.nodes) == [rig.nodes[0].at]
 
 
