--- a/gannetfront/duties/tenants.py
+++ b/gannetfront/duties/tenants.py
@@ -34,7 +34,7 @@
 
     def hint(self, holder):
         if holder in self.streams:
-            self.link.turn_to(self.streams[holder])
+            self.link.set_peer(self.streams[holder])
 
     # ---- while the duty is held ----
 
--- a/gannetfront/kitchen/serve.py
+++ b/gannetfront/kitchen/serve.py
@@ -24,7 +24,7 @@
     def hello(self):
         return c.Hello(role=c.MACHINES, id="kitchen")
 
-    def begun(self):
+    def connected(self):
         for place in self.kitchen.places.values():
             self.kitchen.report(place, 0)
         self.kitchen.tell(c.Report(all=True))
--- a/gannetfront/proxy/links.py
+++ b/gannetfront/proxy/links.py
@@ -51,7 +51,7 @@
         )
         self.out, self.up, self.turned_away, self.stream = None, False, False, None
 
-    def turn_to(self, address):
+    def set_peer(self, address):
         """Makes `address` the only peer, and closes a stream to any other."""
         if self.to != [address]:
             self.to = [address]
@@ -85,7 +85,7 @@
         reader, received = frames.FrameReader(), False
         self.out = out = host.Mailbox(self.max_queued)
         out.put(frames.pack(hello=self.hello()))
-        self.begun()
+        self.connected()
         writer = host.spawn(self.write, stream, out)
         self.up, self.stream = True, stream
         try:
@@ -114,7 +114,7 @@
             self.disconnected()
         return received
 
-    def begun(self):
+    def connected(self):
         """Called once a stream is open: sends what follows the hello."""
 
     def disconnected(self):
@@ -136,22 +136,32 @@
 
 
 class ControlLink(StreamLink):
-    """The link to the controller. Received messages become events for `tell`.
+    """The link to the controller. Received messages are passed to `put_event` as events.
 
     Each vote gets an answer as an event: the controller's, a time-out after `answer_wait` ms, or an error at
     once while the link is down."""
 
     def __init__(
-        self, proxy_number, to, node_list, answer_wait, tell, log, signal_address, on_peers, random, on_list
+        self,
+        proxy_number,
+        to,
+        node_list,
+        answer_wait,
+        put_event,
+        log,
+        signal_address,
+        on_peers,
+        random,
+        on_list,
     ):
         """`node_list` is the list that the proxy holds; its revision and epoch are sent in the hello.
         `on_peers(message)` and `on_list(message)` receive the messages of these names."""
         super().__init__(to, log, random, "control")
-        self.proxy_number, self.node_list, self.answer_wait, self.tell = (
+        self.proxy_number, self.node_list, self.answer_wait, self.put_event = (
             proxy_number,
             node_list,
             answer_wait,
-            tell,
+            put_event,
         )
         self.signal_address, self.on_peers, self.on_list = signal_address, on_peers, on_list
         self.pending_votes, self.last_vote_number, self.epochs = {}, 0, Epochs()
@@ -189,7 +199,7 @@
             if message.number in self.pending_votes:
                 self.complete_vote(message.number, STATUS_BY_CODE.get(message.status, ERROR), message)
             return
-        self.tell(
+        self.put_event(
             "stage_told",
             False,
             message.stage,
@@ -204,7 +214,7 @@
         """The outcomes that all proxies counted, by build and operation."""
         for row in message.rows:
             mean = row.taken / max(1, row.dispatches - row.bad)
-            self.tell("tally", row.dispatches, message.age, row.bad, mean, row.operation, row.ver)
+            self.put_event("tally", row.dispatches, message.age, row.bad, mean, row.operation, row.ver)
 
     # ---- votes ----
 
@@ -216,7 +226,7 @@
             vote=c.Vote(number=number, stage=stage, ver=build, verdict=verdict, figures=figures[:400])
         )
         if not self.up or not self.out.put(packed):
-            self.tell("stage_told", True, stage, 0.0, 0.0, ERROR, build, 0)
+            self.put_event("stage_told", True, stage, 0.0, 0.0, ERROR, build, 0)
             return
         self.pending_votes[number] = (
             stage,
@@ -233,7 +243,7 @@
             host.stop(timer)
         if message is None:
             message = c.Stage(stage=stage, ver=build, cap=0.0, phase=0)
-        self.tell(
+        self.put_event(
             "stage_told",
             True,
             message.stage,
@@ -244,12 +254,12 @@
             message.phase,
         )
 
-    def counts(self, rows):
+    def send_tallies(self, rows):
         """Sends the outcomes that this proxy counted; they are dropped while the link is down."""
         if self.up:
             self.out.put(frames.pack(counts=c.Counts(rows=rows)))
 
-    def ask_whole(self):
+    def request_full_list(self):
         """Requests the whole node list."""
         if not self.up or not self.out.put(frames.pack(ask=c.Ask(whole=True))):
-            self.tell("listed", "failed", ())
+            self.put_event("listed", "failed", ())
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -145,7 +145,7 @@
                 held=self.node_list.revision,
                 told=message.revision,
             )
-            self.link.ask_whole()
+            self.link.request_full_list()
             return
         self.file.changed()
         self.log.info("list", kind=applied[0], revision=message.revision, nodes=len(self.node_list.nodes))
@@ -220,7 +220,7 @@
             host.sleep(self.tally_period / 2)
             rows, self.tallies = self.tallies, {}
             if rows:
-                self.link.counts(
+                self.link.send_tallies(
                     [
                         c.Count(
                             ver=build, operation=operation, dispatches=dispatches, bad=failed, taken=taken
--- a/gannetfront/proxy/rounds.py
+++ b/gannetfront/proxy/rounds.py
@@ -256,7 +256,7 @@
 
     def reload(self):
         """Requests the whole node list."""
-        self.link.ask_whole()
+        self.link.request_full_list()
 
     def log_decision(self, line):
         """Logs a line of the balancer. The last one goes with the next vote as its figures."""
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -484,7 +484,7 @@
 def test_vote_without_an_answer_or_a_link_is_reported(make_rig):
     rig = make_rig(Node())
     events = []
-    rig.proxy.link.tell = lambda *event: events.append(event)
+    rig.proxy.link.put_event = lambda *event: events.append(event)
     rig.proxy.link.vote(0, 1, i.ROLL_BACK)
     rig.until(lambda: events)
     assert events[0][1] and events[0][5] == i.MOOT  # build 1 is the fleet's first: it can't be rolled back
