--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -20,7 +20,7 @@
 from .rounds import RoundLoop
 from .signals import Signals
 from .sites import ProxySites
-from .tenants import Listed, Tenants
+from .tenants import ConfiguredTenants, Tenants
 
 
 class Proxy:
@@ -71,7 +71,7 @@
                 "tenants" if "tenants" in duties_by_name else "",
             )
             if tenants_address
-            else Listed(fleet.tenant)
+            else ConfiguredTenants(fleet.tenant)
         )
         self.clients = Clients(
             self.rounds,
@@ -160,7 +160,7 @@
         )
         if self.stage:
             self.rounds.put_event("stage_told", *self.stage)
-        self.tenants.refill()
+        self.tenants.resend_portions()
 
     def adjusted_entries(self, entries):
         """Returns the entries as the balancer is to have them, with site weights if sites are monitored."""
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -11,10 +11,10 @@
 from ..wire import control_pb2 as c, frames
 from .links import StreamLink
 
-KEEPING = 1000.0  # ms that a view waits to be written to disk before it is applied
+VIEW_WRITE_TIMEOUT_MS = 1000.0  # a view waits so long to be written to disk before it is applied
 
 
-class Listed:
+class ConfiguredTenants:
     """The tenants of the fleet's settings. Where these name none, all callers are one tenant."""
 
     def __init__(self, tenants):
@@ -31,7 +31,7 @@
         """Returns the functions to run in greenlets: none."""
         return ()
 
-    def refill(self):
+    def resend_portions(self):
         """Does nothing: these tenants have no portions."""
 
     def number(self):
@@ -81,9 +81,9 @@
         # The epoch is compared first: a reader that lost its numbers starts again at low ones and must not
         # look older than it is.
         self.tenancy.swap((held.epoch, held.number), held.members, dict(self.slots.of), host.now() - age)
-        self.refill()
+        self.resend_portions()
 
-    def refill(self):
+    def resend_portions(self):
         """Sends the portions to the balancer, also after it was restarted."""
         self.put_event("tenants_listed", self.portions)
 
@@ -136,7 +136,7 @@
             # view again, and would then accept one from an earlier holder of the duty. A disk that does not
             # answer in time is not waited for, as an outdated view would be worse.
             self.newest_confirmed_at = host.now() - view["age"]
-            if not self.file.keep(KEEPING):
+            if not self.file.keep(VIEW_WRITE_TIMEOUT_MS):
                 self.log.warning("view in force before it is on disk", number=message.number)
             self.apply_view(host.now() - self.newest_confirmed_at)
             self.acted(token_of(self.held.epoch), message.number, "done", "")
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -180,7 +180,7 @@
 
 def test_a_view_is_on_disk_before_it_is_in_force_unless_the_disk_does_not_answer(gate, tmp_path, monkeypatch):
     """Else who dies in between takes an older one after it, from whoever had held the duty before."""
-    monkeypatch.setattr("gannetfront.proxy.tenants.KEEPING", 100.0)
+    monkeypatch.setattr("gannetfront.proxy.tenants.VIEW_WRITE_TIMEOUT_MS", 100.0)
     said, seen, path = Log(), [], tmp_path / "v"
     mine = SimpleNamespace(
         me=0, tenants_file=str(path), tenants_fresh=0.0, tenants_costly=0.0, tenants_serve=0.0
