--- a/gannetfront/duties/shell.py
+++ b/gannetfront/duties/shell.py
@@ -452,7 +452,7 @@
     def send(self, number, message):
         members = self.shell.members
         if number in members.addresses:
-            members.put(number, lease.pack(members.fleet, self.shell.me, self.name, message))
+            members.send_datagram(number, lease.pack(members.fleet, self.shell.me, self.name, message))
 
     def gained(self, token, state):
         self.shell.gained(self.name, token, state)
--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -48,9 +48,9 @@
 
     def send(self, number, message):
         """Sends a message of the membership protocol to a member."""
-        self.put(number, wire.pack(self.fleet, self.me, message))
+        self.send_datagram(number, wire.pack(self.fleet, self.me, message))
 
-    def put(self, number, data):
+    def send_datagram(self, number, data):
         """Sends one datagram of any kind to a member."""
         self.sent += 1
         self.port.send(self.addresses[number], data)
@@ -69,7 +69,7 @@
                 self.core.tick(host.now(), self)
                 self.log_connectivity()
 
-    def hear(self):
+    def receive(self):
         """Receives datagrams until the port is closed."""
         while (datagram := self.port.recv(1024)) is not None:
             data, sender = datagram
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -333,7 +333,7 @@
                 self.watch_storms,
                 *self.tenants.start(),
                 *([self.rounds.trail.run] if self.rounds.trail else []),
-                *([self.members.run, self.members.hear] if self.members else []),
+                *([self.members.run, self.members.receive] if self.members else []),
                 *([self.sites.run] if self.sites else []),
                 *([self.send_tallies] if self.tally_period else []),
             )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -209,7 +209,7 @@
         f'mate {{ number: 0 zone: "a" address: "{mine}" }} mate {{ number: 1 zone: "b" address: "{other.where}" }}'
     )
     membership = Membership(load.parse(schema.Proxy, text, "p"), ["a", "b"], Log(), Jitter(1))
-    greenlets = [host.spawn(membership.run), host.spawn(membership.hear)]
+    greenlets = [host.spawn(membership.run), host.spawn(membership.receive)]
     fleet, ping = wire.fleet_of("fleet"), (0, 1, None, [])
     sent = [
         (other, b"nonsense"),
