--- a/gannetfront/edge/discovery.py
+++ b/gannetfront/edge/discovery.py
@@ -1,111 +1,129 @@
-"""The link to discovery: the list as it is at the start, then a watch that resumes by version."""
+"""Client of the discovery service: long-polls the list of nodes and resumes from the last version it applied."""
 
 from .. import host
 from ..interface import GONE, READY
 from ..wire import BadAnswer, http
 
-# What a silent watch misses counts as told 6 s after it fell silent, which may be right after its call. By then it was given up, so
-# was a connection that was silent as well, and another has answered: 3 + 0.5 + 1 s, which leaves 1.5 s to a slow loop.
-WATCH = 3000.0  # ms that a watch may wait
-SILENT = 500.0  # ms past that, after which the agent is asked on a new connection: it answers at once
-CONNECT_TIMEOUT = 1000.0  # ms for a connection, and for a call to be written
-LONGEST = 4 << 20  # bytes of a listing
-MIN_BACKOFF, MAX_BACKOFF = 10.0, 500.0  # ms between failures: a watch is broken by 200
+# A change counts as delivered 6 s after the watch became unresponsive, which may be right after its request. By then
+# the watch has timed out (3 + 0.5 s), an unresponsive connection attempt after it has timed out too (1 s), and another
+# connection has answered. This leaves 1.5 s for a slow event loop.
+WATCH_TIMEOUT = 3000.0  # ms that a watch request may wait for changes
+RESPONSE_GRACE = (
+    500.0  # ms beyond WATCH_TIMEOUT before a new connection is opened, on which the agent answers at once
+)
+CONNECT_TIMEOUT = 1000.0  # ms to connect, and to write a request
+MAX_LISTING_SIZE = 4 << 20  # bytes
+MIN_BACKOFF, MAX_BACKOFF = 10.0, 500.0  # ms between failed attempts; a watch is broken by 200
 
 
 class Discovery:
-    def __init__(self, at, listing, tell, pools, jitter, log):
-        """`tell(kind, entries)` passes a listing on to the decisions."""
-        self.at, self.listing, self.tell, self.pools, self.jitter, self.log = (
+    """The nodes that the discovery service lists, with the addresses at which they listen."""
+
+    def __init__(self, at, listing, publish, pools, jitter, log):
+        """`publish(kind, entries)` passes a listing on to the decision module."""
+        self.at, self.listing, self.publish, self.pools, self.jitter, self.log = (
             at,
             listing,
-            tell,
+            publish,
             pools,
             jitter,
             log,
         )
-        self.version, self.entries, self.moved = 0, {}, host.Once()  # host -> (entry, dial, born)
+        self.version, self.entries, self.moved = (
+            0,
+            {},
+            host.Once(),
+        )  # entries: host -> (entry, dial address, start time)
 
     def address(self, name):
-        """Where a node listens; one that a list has just left out or called gone is sent nothing."""
+        """Address at which a node listens. Raises host.Refused for a node that is no longer listed or is listed as gone."""
         if name not in self.entries or self.entries[name][0][5] == GONE:
             raise host.Refused("not listed")
         return self.entries[name][1]
 
     def build(self, name):
+        """Build that a node runs; 0 if the node is not listed."""
         return self.entries[name][0][2] if name in self.entries else 0
 
     def take(self, version, whole, hosts, kind=None):
-        """A listing that was read: dials first, as the decisions may send at once. Clock times cross machines; a start becomes
-        one of this program's own clock, once for each incarnation, or it would wander."""
-        told, self.version = [], version
-        for entry, dial, born in hosts:
-            old = self.entries.get(entry[0])
-            if old and (old[0][2], old[2]) == (entry[2], born):
-                entry = (*entry, old[0][7])
+        """Applies a listing. Addresses are stored before the listing is published, as the decision module may dispatch at once.
+
+        Start times are wall-clock times of other machines. Each is converted to this process's monotonic clock once
+        per incarnation; repeated conversion would make it drift."""
+        received, self.version = [], version
+        for entry, dial, start_time in hosts:
+            previous = self.entries.get(entry[0])
+            if previous and (previous[0][2], previous[2]) == (entry[2], start_time):
+                entry = (*entry, previous[0][7])
             else:
-                entry = (*entry, host.now() - (1000.0 * host.wall() - born) if born else 0.0)
-            # Another process answers there from now on, or nothing new may go there: no open connection is used for it.
-            if old and ((old[0][2], *old[1:]) != (entry[2], dial, born) or entry[5] != READY):
+                entry = (*entry, host.now() - (1000.0 * host.wall() - start_time) if start_time else 0.0)
+            # Another process now answers at the address, or the node accepts no new dispatches: open connections are retired.
+            if previous and (
+                (previous[0][2], *previous[1:]) != (entry[2], dial, start_time) or entry[5] != READY
+            ):
                 self.pools.retire(entry[0])
-            self.entries[entry[0]] = entry, dial, born
-            told.append(entry)
+            self.entries[entry[0]] = entry, dial, start_time
+            received.append(entry)
         if whole:
-            for name in self.entries.keys() - {entry[0] for entry in told}:
+            for name in self.entries.keys() - {entry[0] for entry in received}:
                 self.pools.retire(name)
                 del self.entries[name]
-        self.tell(kind or ("whole" if whole else "changes"), tuple(told))
+        self.publish(kind or ("whole" if whole else "changes"), tuple(received))
 
     def move(self, at):
+        """Switches to a discovery service at another address; an open watch is interrupted."""
         if at != self.at:
             self.at = at
             self.moved.set()
 
     def run(self):
-        wait, whole = MIN_BACKOFF, False
+        """Watches forever; reconnects with exponential backoff and jitter."""
+        backoff, whole = MIN_BACKOFF, False
         while True:
             stream = None
             self.moved = moved = host.Once()
             try:
                 stream = host.connect(self.at, CONNECT_TIMEOUT)
-                more = True
-                while more:
-                    more = self.ask(stream, moved, whole)
-                    wait, whole = MIN_BACKOFF, False
-            except (OSError, host.Refused, host.Timeout, BadAnswer) as trouble:
-                # What could not be read is dropped whole; the next answer is the whole list.
-                whole = whole or isinstance(trouble, BadAnswer)
+                reusable = True
+                while reusable:
+                    reusable = self.poll(stream, moved, whole)
+                    backoff, whole = MIN_BACKOFF, False
+            except (OSError, host.Refused, host.Timeout, BadAnswer) as error:
+                # A malformed answer is discarded entirely; the next request asks for the complete list.
+                whole = whole or isinstance(error, BadAnswer)
                 if not moved.ready():
                     self.log.info(
-                        "discovery lost", at=self.at, why=str(trouble)[:200] or type(trouble).__name__
+                        "discovery connection failed",
+                        at=self.at,
+                        why=str(error)[:200] or type(error).__name__,
                     )
             finally:
                 if stream:
                     stream.close()
             if not moved.ready():
-                host.sleep(wait * (0.5 + self.jitter.random()))
-                wait = min(MAX_BACKOFF, 2 * wait)
+                host.sleep(backoff * (0.5 + self.jitter.random()))
+                backoff = min(MAX_BACKOFF, 2 * backoff)
 
-    def ask(self, stream, moved, whole):
-        """One call; its answer is in force. False where its connection cannot carry another."""
+    def poll(self, stream, moved, whole):
+        """Sends one request and applies its answer. Returns whether the connection can carry another request."""
         path = b"/discovery/hosts"
         if not whole:
-            path += b"?since=%d&timeout_ms=%d" % (self.version, WATCH)
-        reader = http.AnswerReader(LONGEST)
+            path += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_TIMEOUT)
+        reader = http.AnswerReader(MAX_LISTING_SIZE)
         stream.send(http.request(path, self.at.encode(), [], b"", b"GET"), CONNECT_TIMEOUT)
-        end = host.now() + WATCH + SILENT
+        deadline = host.now() + WATCH_TIMEOUT + RESPONSE_GRACE
         while not reader.whole:
-            data = stream.recv_or(moved, 65536, end - host.now())
+            data = stream.recv_or(moved, 65536, deadline - host.now())
             if data is None:
                 raise host.Timeout()
             if not data:
-                raise BadAnswer("it ended before its answer was whole")
+                raise BadAnswer("connection closed before the answer was complete")
             reader.feed(data)
         if reader.status != 200:
             raise BadAnswer(f"status {reader.status}")
         version, is_whole, hosts = self.listing.read(reader.body)
         if whole and not is_whole:
-            raise BadAnswer("changes where the whole list was asked for")
+            raise BadAnswer("got changes, but the complete list was requested")
         if is_whole or hosts:
             self.log.info("list", whole=is_whole, version=version, nodes=len(hosts))
             self.take(version, is_whole, hosts)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -411,7 +411,7 @@
 
 @pytest.fixture
 def short_watch(monkeypatch):
-    for name, span in (("WATCH", 60.0), ("SILENT", 40.0), ("CONNECT_TIMEOUT", 40.0)):
+    for name, span in (("WATCH_TIMEOUT", 60.0), ("RESPONSE_GRACE", 40.0), ("CONNECT_TIMEOUT", 40.0)):
         monkeypatch.setattr(f"gannetfront.edge.discovery.{name}", span)
 
 
@@ -419,7 +419,10 @@
     """In the worst order: silent right behind the call, then a connection that never comes up; 6 s by the platform's page."""
     from gannetfront.edge import discovery as d
 
-    assert d.WATCH + d.SILENT + 1.5 * d.MIN_BACKOFF + d.CONNECT_TIMEOUT + 1.5 * 2 * d.MIN_BACKOFF <= 5000
+    assert (
+        d.WATCH_TIMEOUT + d.RESPONSE_GRACE + 1.5 * d.MIN_BACKOFF + d.CONNECT_TIMEOUT + 1.5 * 2 * d.MIN_BACKOFF
+        <= 5000
+    )
 
 
 def test_two_streams_of_notices_are_not_heard_at_a_time(rig):
