--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side on the platform: queries read ahead, begun when read, answered in their order, each once."""
+"""Client connections on the platform: pipelined queries start as they are read and are answered once each, in order."""
 
 from collections import Counter, deque
 
@@ -25,13 +25,15 @@
 from .config import MARGIN
 
 
-class Left(Exception):
-    """The client has gone."""
+class ClientDisconnected(Exception):
+    """The client has closed the connection or ended its session."""
 
 
 class Clients:
+    """All client connections of the proxy, and the ids of the invocations that are open on them."""
+
     def __init__(self, rounds, operations, limits, budget, log):
-        """`operations` as wire/pg.statement takes them; `limits` are time limits in ms by operation."""
+        """`operations` has the form that wire/pg.statement takes; `limits` are time limits in ms by operation index."""
         self.rounds, self.operations, self.limits, self.budget, self.log = (
             rounds,
             operations,
@@ -40,27 +42,27 @@
             log,
         )
         self.open, self.ids, self.turned_away = set(), set(), Counter()
-        self.draining = False  # connections end with the answer after which nothing is owed on them
+        self.draining = False  # a connection is closed once all its answers are sent
         self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE)
 
     def handle(self, stream):
+        """Serves one connection until it ends."""
         self.open.add(stream)
         close = stream.close
         try:
             if not self.budget.enter(stream):
-                self.turned_away["no descriptor"] += 1
-                soonest = min(
-                    map(self.rounds.retry_advice, range(len(self.limits)))
-                )  # what it wants is not known
-                stream.send(pg.throttled(soonest, "too many connections", True), 0.0)
+                self.turned_away["connection limit reached"] += 1
+                # The operation is not known yet, so the shortest delay of any operation is given.
+                retry_delay = min(map(self.rounds.retry_advice, range(len(self.limits))))
+                stream.send(pg.throttled(retry_delay, "too many connections", True), 0.0)
             elif not Session(self, stream).run():
                 return
 
-            # It ended here, with a last answer that the client may not have read while it still writes.
+            # The proxy ends the connection. The client may still be writing and may not have read the last answer.
             def close():
                 return self.lingering.close(stream)
-        except (OSError, host.Timeout, Left):
-            pass  # a client that left, broke off, says nothing or does not read: nobody is there to be told
+        except (OSError, host.Timeout, ClientDisconnected):
+            pass  # the client disconnected, was idle too long or does not read: no answer can reach it
         finally:
             self.budget.leave(stream)
             close()
@@ -68,69 +70,74 @@
 
 
 class Session:
-    """One connection."""
+    """One client connection: reads its messages and sends the answers in order."""
 
     def __init__(self, clients, stream):
-        self.all, self.stream, self.reader = clients, stream, pg.ClientReader()
-        self.pending, self.count, self.last, self.looked = (
+        self.clients, self.stream, self.reader = clients, stream, pg.ClientReader()
+        self.pending, self.open_count, self.final_answer_queued, self.drain_checked = (
             deque(),
             0,
             False,
             False,
-        )  # pending: bytes, or (Held, id)
-        self.bad, self.dropped = 0, 0
+        )  # pending: encoded answers, and (Held, invocation id) of invocations that are not yet answered
+        self.consecutive_errors, self.discarded_bytes = 0, 0
 
     def run(self):
+        """Serves the connection; returns and raises as serve() does."""
         try:
-            return self.converse()
+            return self.serve()
         finally:
-            # Whatever ended it, nobody waits here any more: dispatches are called off, ids may come again.
+            # No client is waiting any more: open invocations are abandoned and their ids may be used again.
             for answer in self.pending:
                 if type(answer) is tuple:
-                    self.all.rounds.abandon(answer[0])
-                    self.all.ids.discard(answer[1])
+                    self.clients.rounds.abandon(answer[0])
+                    self.clients.ids.discard(answer[1])
+
+    def serve(self):
+        """Reads and answers until the connection ends.
 
-    def converse(self):
-        """True once a last answer was sent behind which more may have been written; False where nothing is owed and the proxy
-        drains; raises Left, Timeout or OSError where the client ended it."""
+        Returns True after a final answer, when the client may still be writing, and False when the proxy drains and no
+        answer is due. Raises ClientDisconnected, Timeout or OSError when the client ended the connection."""
         stream, reader, since = self.stream, self.reader, host.now()
         while True:
-            self.read()
-            out = self.settled()
-            if out:
-                stream.send(out, WRITE_TIMEOUT)
+            self.read_messages()
+            answers = self.take_answers()
+            if answers:
+                stream.send(answers, WRITE_TIMEOUT)
                 since = host.now()
-                continue  # others may have been answered meanwhile
-            if not self.pending and self.last:
+                continue  # more invocations may have been answered during the write
+            if not self.pending and self.final_answer_queued:
                 return True
             state = self.state()
-            # Here and not a look later: a client that asks again as soon as it is answered would never be found idle. What is
-            # there at the first look is taken; what comes after it crosses the close and is asked elsewhere.
-            if self.all.draining and state in (SILENT, IDLE):
-                if self.looked or not stream.waiting():
+            # Checked right after the answer: a client that sends its next request at once would otherwise never be found
+            # idle. A request that is present at the first check is served; a later one crosses the close and is retried
+            # elsewhere.
+            if self.clients.draining and state in (SILENT, IDLE):
+                if self.drain_checked or not stream.waiting():
                     return False
-                self.looked = True
-            self.all.budget.mark(stream, state)
+                self.drain_checked = True
+            self.clients.budget.mark(stream, state)
             try:
                 if not self.pending:
-                    limit = START_TIMEOUT if not reader.started or reader.begun else IDLE_TIMEOUT
-                    data = stream.recv(65536, since + limit - host.now())
+                    timeout = START_TIMEOUT if not reader.started or reader.begun else IDLE_TIMEOUT
+                    data = stream.recv(65536, since + timeout - host.now())
                 else:
                     held = self.pending[0][0]
-                    left = held.deadline + OVERDUE - host.now()
-                    if left <= 0:
-                        # Nothing decided in time, whatever the reason: the client must hear something while it listens.
-                        self.all.log.error("answer overdue", inv=held.invocation_id)
-                        self.all.rounds.abandon(held, "terminated", True)
+                    time_left = held.deadline + OVERDUE - host.now()
+                    if time_left <= 0:
+                        # No decision in time, for whatever reason: answer while the client still waits.
+                        self.clients.log.error("answer overdue", inv=held.invocation_id)
+                        self.clients.rounds.abandon(held, "terminated", True)
                         continue
-                    next_byte = stream.peek() if self.all.draining else None
-                    if self.ahead >= READ_AHEAD or next_byte:
-                        held.context.done.wait(left)
+                    next_byte = stream.peek() if self.clients.draining else None
+                    if self.unprocessed_bytes >= READ_AHEAD or next_byte:
+                        held.context.done.wait(time_left)
                         continue
-                    if self.all.draining and next_byte is None:
-                        stream.until(host.READ, left, held.context.done)  # for its end: nothing more is taken
+                    if self.clients.draining and next_byte is None:
+                        # Waits only for the client's close: while draining, no more requests are read.
+                        stream.until(host.READ, time_left, held.context.done)
                         continue
-                    data = stream.recv_or(held.context.done, 65536, left)
+                    data = stream.recv_or(held.context.done, 65536, time_left)
             except host.Timeout:
                 if not self.pending:
                     raise
@@ -138,97 +145,111 @@
             if data is None:
                 continue
             if not data:
-                raise Left
+                raise ClientDisconnected
             if not reader.begun and not self.pending:
                 since = host.now()
-            # Read on though nothing more of it is taken for now, or ever: only so the client's close is seen.
-            if self.last:
-                self.dropped += len(data)
+            # Reading goes on even if the data is not processed now, or ever: otherwise the client's close is not detected.
+            if self.final_answer_queued:
+                self.discarded_bytes += len(data)
             else:
                 reader.feed(data)
 
     @property
-    def ahead(self):
-        """Bytes read that nothing was begun for."""
-        return self.dropped if self.last else len(self.reader.held)
+    def unprocessed_bytes(self):
+        """Bytes that were read and not yet processed."""
+        return self.discarded_bytes if self.final_answer_queued else len(self.reader.held)
 
     def state(self):
-        if self.pending or self.last or self.reader.started and self.reader.begun:
+        """State of the connection, as budget.py defines them."""
+        if self.pending or self.final_answer_queued or self.reader.started and self.reader.begun:
             return BUSY
         return (
             IDLE if self.reader.started else STARTING if self.reader.begun or self.reader.wishes else SILENT
         )
 
-    def settled(self):
-        """What the answers at the head of the line come to, in bytes."""
-        out = []
+    def take_answers(self):
+        """Removes the answers that are complete at the head of the queue and returns them as bytes."""
+        answers = []
         while self.pending:
             head = self.pending[0]
             if type(head) is tuple:
-                held, ident = head
+                held, invocation_id = head
                 if held.answer is None:
                     break
-                self.all.ids.discard(ident)
-                self.count -= 1
-                head = self.worded(*held.answer)
+                self.clients.ids.discard(invocation_id)
+                self.open_count -= 1
+                head = self.encode_answer(*held.answer)
             self.pending.popleft()
-            out.append(head)
-        return b"".join(out)
+            answers.append(head)
+        return b"".join(answers)
 
     @staticmethod
-    def worded(kind, *facts):
+    def encode_answer(kind, *details):
         if kind == SUCCEEDED:
-            return facts[0] + pg.READY
+            return details[0] + pg.READY
         if kind == "throttled":
-            return pg.throttled(facts[0]) + pg.READY
-        return pg.terminated(facts[0] if facts else True) + pg.READY
+            return pg.throttled(details[0]) + pg.READY
+        return pg.terminated(details[0] if details else True) + pg.READY
 
-    def read(self):
-        """All that is whole among the bytes read, as far as answers may wait."""
+    def read_messages(self):
+        """Handles the complete messages among the bytes read, up to MAX_PENDING waiting answers."""
         try:
-            while not self.last and len(self.pending) < MAX_PENDING:
-                got = self.reader.take()
-                if got is None:
+            while not self.final_answer_queued and len(self.pending) < MAX_PENDING:
+                message = self.reader.take()
+                if message is None:
                     return
-                self.all.budget.mark(self.stream, BUSY)
-                if got[0] == "plain":
+                self.clients.budget.mark(self.stream, BUSY)
+                if message[0] == "plain":
                     self.pending.append(pg.PLAIN)
-                elif got[0] == "start":
+                elif message[0] == "start":
                     self.pending.append(pg.WELCOME)
-                elif got[0] == "end":
-                    raise Left
+                elif message[0] == "end":
+                    raise ClientDisconnected
                 else:
-                    self.pending.append(self.query(got[1]))
-        except pg.BadMessage as bad:
-            # Nothing behind it can be read: this answer is the last.
-            self.all.turned_away[bad.code.decode()] += 1
-            self.pending.append(pg.error(bad.code, bad.why, True))
-            self.last = True
-
-    def query(self, sql):
+                    self.pending.append(self.handle_query(message[1]))
+        except pg.BadMessage as error:
+            # What follows a malformed message cannot be parsed: this answer is the last.
+            self.clients.turned_away[error.code.decode()] += 1
+            self.pending.append(pg.error(error.code, error.why, True))
+            self.final_answer_queued = True
+
+    def handle_query(self, sql):
+        """The encoded answer, or (Held, invocation id) for an invocation that was started.
+
+        Raises pg.BadMessage after BAD_IN_A_ROW consecutive statements that could not be read."""
         if not sql.strip(b" \t\r\n;"):
             return pg.EMPTY + pg.READY
         try:
-            return self.begin(sql)
-        except pg.BadMessage as bad:
-            self.all.turned_away[bad.code.decode()] += 1
-            self.bad += 1
-            if self.bad >= BAD_IN_A_ROW:
-                raise pg.BadMessage(bad.code, bad.why, True) from None
-            return pg.error(bad.code, bad.why) + pg.READY
-
-    def begin(self, sql):
-        every = self.all
-        op, uid, ident, left, _, content = pg.statement(sql, every.operations)
-        if ident in every.ids:
+            return self.start_invocation(sql)
+        except pg.BadMessage as error:
+            self.clients.turned_away[error.code.decode()] += 1
+            self.consecutive_errors += 1
+            if self.consecutive_errors >= BAD_IN_A_ROW:
+                raise pg.BadMessage(error.code, error.why, True) from None
+            return pg.error(error.code, error.why) + pg.READY
+
+    def start_invocation(self, sql):
+        """Hands the statement's invocation to the decisions, or answers that it is throttled.
+
+        Raises pg.BadMessage for a malformed statement and for an id that is open already."""
+        clients = self.clients
+        operation, uid, invocation_id, time_left, _, content = pg.statement(sql, clients.operations)
+        if invocation_id in clients.ids:
             raise pg.BadMessage(b"23505", "an invocation with this id is open")
-        self.bad = 0
-        left = max(0.0, min(left, every.limits[op]) - MARGIN)
-        held = every.rounds.accept(op, 0, uid, left, *content) if self.count < MAX_PIPELINED else None
+        self.consecutive_errors = 0
+        time_left = max(0.0, min(time_left, clients.limits[operation]) - MARGIN)
+        held = (
+            clients.rounds.accept(operation, 0, uid, time_left, *content)
+            if self.open_count < MAX_PIPELINED
+            else None
+        )
         if held is None:
-            every.turned_away["too much is open"] += 1
-            return pg.throttled(every.rounds.retry_advice(op), "throttled: too much is open here") + pg.READY
+            clients.turned_away["too many open invocations"] += 1
+            return (
+                pg.throttled(clients.rounds.retry_advice(operation), "throttled: too much is open here")
+                + pg.READY
+            )
         held.context.client_gone = self.stream.ended
-        every.ids.add(ident)
-        self.count += 1
-        return held, ident
+        clients.ids.add(invocation_id)
+        self.open_count += 1
+        return held, invocation_id
