--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -1,4 +1,6 @@
-"""The proxy on the users' platform, assembled: clients' side, rounds, pools, discovery, release API, peers; its life."""
+"""The proxy on the users' platform: assembles its parts, connects to nodes, and starts, reloads and drains the process.
+
+The parts are client connections, round loop, connection pools, discovery, release API and signals to peers."""
 
 from .. import host
 from ..balance import Balancer, retry_delay
@@ -14,13 +16,16 @@
 from .discovery import Discovery
 
 USER, DATABASE = b"client", b"core"
-ACCEPT_GRACE = 600.0  # ms after SIGTERM in which clients still come and use what they have
+ACCEPT_GRACE = 600.0  # ms after SIGTERM in which new connections and requests are still accepted
 ANSWER_LIMIT = 1 << 18  # bytes of a node's answer
-REPORTED = 5000.0
+STATUS_INTERVAL = 5000.0  # ms between status lines in the log
 
 
 class Edge:
+    """One proxy process on the platform."""
+
     def __init__(self, start, path, log):
+        """`start` is a config.Start; `path` names the configuration file, which reload() reads again."""
         self.path, self.log, self.budget = path, log, start.budget
         self.pools = Pools(
             self.budget.nodes_most, start.pool_idle, start.connect_limit, self.connect, self.room
@@ -41,7 +46,7 @@
         self.discovery = Discovery(
             start.discovery,
             start.listing,
-            lambda *told: self.rounds.put_event("listed", *told),
+            lambda *listing: self.rounds.put_event("listed", *listing),
             self.pools,
             jitter,
             log,
@@ -56,7 +61,7 @@
         )
         self.rounds.link = self.api
         self.clients = Clients(self.rounds, start.operations, start.limits, self.budget, log)
-        self.signals, self.done, self.drains, self.listen = None, host.Once(), False, start.listen
+        self.signals, self.done, self.draining, self.listen = None, host.Once(), False, start.listen
         if start.facts.may_signal and start.peer_listen:
             self.signals = Signals(start.me, start.peer_listen, self.rounds.put_event, bare=True)
             self.signals.set_peers(start.peers)
@@ -67,20 +72,22 @@
     # ---- connections to nodes ----
 
     def connect(self, name, limit):
-        """A stream on which a node waits for a query. Until it does nothing was asked of it."""
-        end = host.now() + limit
+        """Opens a connection to a node and returns it once the node is ready for a query. No query was sent if it fails.
+
+        Raises host.Refused if the node is not listed, rejects the connection or does not greet within `limit` ms."""
+        deadline = host.now() + limit
         stream, greeting = host.connect(self.discovery.address(name), limit), pg.Greeting()
         try:
             stream.send(pg.startup(USER, DATABASE), limit)
             while not greeting.ready:
-                data = stream.recv(65536, end - host.now())
+                data = stream.recv(65536, deadline - host.now())
                 if data:
                     greeting.feed(data)
                 if not data or greeting.code:
                     raise host.Refused("turned away")
             return stream
         except (OSError, BadAnswer):
-            # It answered the call and then broke off: not a process that is gone, as one that refuses calls is.
+            # The node accepted the connection and then closed it, so its process runs, unlike one that refuses connections.
             stream.close()
             raise host.Refused("turned away") from None
         except host.Timeout:
@@ -91,23 +98,26 @@
             raise
 
     def room(self):
+        """Whether one more node connection may be opened; closes an idle one if necessary."""
         return self.pools.size() < self.budget.nodes_most or self.pools.close_oldest_idle()
 
     def refill(self):
+        """Gives a restarted balancer the list of nodes and the release state."""
         self.rounds.put_event(
             "listed", "whole", tuple(entry for entry, _, _ in self.discovery.entries.values())
         )
         self.api.state(False, SUCCEEDED)
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def start(self):
+        """Starts the loops and listens for clients. Raises OSError if an address cannot be bound."""
         self.greenlets = [host.spawn(self.rounds.run)]
-        host.sleep(0)  # the decisions know the list before anybody comes
+        host.sleep(0)  # the round loop applies the list before the first client connects
         self.listener = host.Listener(self.listen, 4096)
         self.greenlets += [
-            host.spawn(call)
-            for call in (
+            host.spawn(loop)
+            for loop in (
                 self.discovery.run,
                 self.api.run,
                 self.api.listen,
@@ -125,56 +135,59 @@
         )
 
     def tend(self):
-        """Idle connections in time; every few seconds a line of how things stand."""
-        told, spent = host.now(), 0.0
+        """Closes idle node connections and logs a status line every STATUS_INTERVAL."""
+        reported_at, decision_time_before = host.now(), 0.0
         while True:
             host.sleep(500)
             self.pools.sweep(self.discovery.entries)
-            if host.now() - told >= REPORTED:
-                rounds, told = self.rounds, host.now()
-                away, self.clients.turned_away = (
+            if host.now() - reported_at >= STATUS_INTERVAL:
+                rounds, reported_at = self.rounds, host.now()
+                turned_away, self.clients.turned_away = (
                     dict(self.clients.turned_away),
                     type(self.clients.turned_away)(),
                 )
                 self.log.info(
-                    "standing",
+                    "status",
                     held=len(rounds.held),
                     out=len(rounds.flights),
                     clients=len(self.clients.open),
                     to_nodes=self.pools.size(),
                     bound=min(1e6, round(rounds.balancer.open_limit, 1)),
                     rounds=rounds.round_count,
-                    decisions_ms=round(rounds.decision_time - spent),
-                    turned_away=away,
-                    ends={f"{k} {o}": n for (k, o), n in sorted(rounds.answer_counts.items())},
+                    decisions_ms=round(rounds.decision_time - decision_time_before),
+                    turned_away=turned_away,
+                    ends={
+                        f"{kind} {operation}": count
+                        for (kind, operation), count in sorted(rounds.answer_counts.items())
+                    },
                 )
-                spent = rounds.decision_time
+                decision_time_before = rounds.decision_time
 
     def reload(self):
-        """SIGHUP: the addresses of the file as it is now; one that cannot be read leaves those in force."""
+        """SIGHUP: applies the addresses of the configuration file; a file that is not valid changes nothing."""
         try:
             discovery, release_api = config.moved(config.read(self.path))
-        except config.BadSetting as bad:
-            self.log.error("configuration not taken", why=str(bad))
+        except config.BadSetting as error:
+            self.log.error("configuration rejected", why=str(error))
             return
-        self.log.info("configuration", discovery=discovery, release_api=release_api)
+        self.log.info("configuration reloaded", discovery=discovery, release_api=release_api)
         self.discovery.move(discovery)
         self.api.move(release_api)
 
     def drain(self):
-        """SIGTERM: clients are still taken for a moment; then idle ones are let go, and all that was taken is answered."""
-        if self.drains:
+        """SIGTERM: accepts clients for ACCEPT_GRACE, then closes idle connections and answers all requests that were read."""
+        if self.draining:
             return
-        self.drains = True
+        self.draining = True
         self.log.info("stopping", held=len(self.rounds.held))
         host.sleep(ACCEPT_GRACE)
-        # What the machine has accepted meanwhile was taken, and a loop that was held up has not met it yet.
+        # Connections that the kernel has accepted and a delayed accept loop has not yet seen are served too.
         for stream in self.listener.backlog():
             host.spawn(self.clients.handle, stream)
         self.listener.close()
         self.clients.draining = True
         self.budget.evict_idle((SILENT, IDLE))
-        host.sleep(0)  # those just spawned are among the open ones
+        host.sleep(0)  # the handlers just spawned register in clients.open
         while self.clients.open:
             host.sleep(5)
         self.log.info("stopped")
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -689,7 +689,7 @@
     with open(one.path, "w") as f:
         f.write("{")
     one.edge.reload()
-    assert "config.json" in one.log.said("configuration not taken")[0]["why"]
+    assert "config.json" in one.log.said("configuration rejected")[0]["why"]
     other = type(one.platform)([one.host(0, share=3.0)])
     other.version = 5
     one.write(discovery=other.at, release_api={"address": other.at, "news": NEWS})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -520,7 +520,7 @@
     before = one.edge.discovery.at, one.edge.api.at
     one.edge.reload()
     assert (
-        word in one.log.said("configuration not taken")[0]["why"]
+        word in one.log.said("configuration rejected")[0]["why"]
         and (one.edge.discovery.at, one.edge.api.at) == before
     )
     assert one.client().ask(select("01")) == b"\\x9f03"
