--- a/gannetfront/edge/api.py
+++ b/gannetfront/edge/api.py
@@ -1,72 +1,86 @@
-"""The links to the release API: votes, each called once, and the stream of notices."""
+"""Client of the release API: sends each vote at most once and reads the stream of notices."""
 
 from .. import host
 from ..interface import ERROR, SUCCEEDED, TIMEOUT
 from ..wire import BadAnswer, asking, http, platform
 
-SILENCE_TIMEOUT = 3500.0  # ms: the stream shows a sign of life each second, so that one without is not there
-IDLE_TIMEOUT = 4000.0  # ms that an idle connection for votes is kept; the platform's end comes later
-MIN_BACKOFF, MAX_BACKOFF = 20.0, 1000.0
-SAME = 200.0  # ms within which two readings of when a state began may differ
+SILENCE_TIMEOUT = 3500.0  # ms without data until the stream counts as lost; heartbeats come each second
+IDLE_TIMEOUT = 4000.0  # ms that an idle connection for votes is kept, less than the platform keeps it
+MIN_BACKOFF, MAX_BACKOFF = 20.0, 1000.0  # ms between attempts to open the stream
+START_TOLERANCE = 200.0  # ms by which two readings of a state's start time may differ
 
 
 class ReleaseApi:
-    def __init__(self, at, operations, answer_wait, tell, jitter, log):
-        """`operations` maps names to an index; `tell(name, *fields)` passes an event on to the decisions."""
-        self.at, self.operations, self.wait, self.tell, self.jitter, self.log = (
+    """Passes the release state and the tallies to the decision module and sends its votes."""
+
+    def __init__(self, at, operations, answer_wait, put_event, jitter, log):
+        """`operations` maps names to an index; `answer_wait` is the time limit of a vote in ms;
+        `put_event(name, *fields)` passes an event on to the decision module."""
+        self.at, self.operations, self.answer_wait, self.put_event, self.jitter, self.log = (
             at,
             operations,
             answer_wait,
-            tell,
+            put_event,
             jitter,
             log,
         )
-        self.box, self.newest, self.kept, self.turn, self.stream = host.Mailbox(16), None, None, 0, None
+        self.votes, self.newest, self.idle_connection, self.generation, self.stream = (
+            host.Mailbox(16),
+            None,
+            None,
+            0,
+            None,
+        )
 
-    # ---- what is told ----
+    # ---- release state ----
 
-    def state(self, answer, status, told=None):
-        """A state from any of the ways it comes, which may overtake each other: an older one does not undo a newer."""
-        if told:
-            stage, age, cap, build, phase = told
+    def state(self, answer, status, received=None):
+        """Passes on the newest known state; `answer` says whether it comes with the outcome of a vote.
+
+        States come by several ways that may overtake one another, so `received` is ignored if it is older than the known one."""
+        if received:
+            stage, age, cap, build, phase = received
             began = host.now() - age
-            if not self.newest or (build, began + SAME) >= (self.newest[3], self.newest[1]):
+            if not self.newest or (build, began + START_TOLERANCE) >= (self.newest[3], self.newest[1]):
                 self.newest = stage, began, cap, build, phase
         stage, began, cap, build, phase = self.newest
-        self.tell("stage_told", answer, stage, host.now() - began, cap, status, build, phase)
+        self.put_event("stage_told", answer, stage, host.now() - began, cap, status, build, phase)
 
     def move(self, at):
+        """Switches to a release API at another address. The old stream stays open until the new one is accepted."""
         if at != self.at:
             self.at = at
-            self.turn += 1
-            host.spawn(self.listen, self.turn)
+            self.generation += 1
+            host.spawn(self.listen, self.generation)
 
     # ---- votes ----
 
     def vote(self, stage, build, verdict, why):
-        if not self.box.put((stage, build, verdict)):
+        """Queues a vote; a full queue is reported as an error at once."""
+        if not self.votes.put((stage, build, verdict)):
             self.state(True, ERROR)
 
     def run(self):
+        """Sends the queued votes, one at a time, and passes on their outcomes."""
         while True:
-            form = self.box.take()
-            if form:
-                status, told = self.cast(platform.vote(*form))
+            vote = self.votes.take()
+            if vote:
+                status, received = self.cast(platform.vote(*vote))
                 self.log.info(
-                    "vote", stage=form[0], build=form[1], verdict=platform.VERDICTS[form[2]], answer=status
+                    "vote", stage=vote[0], build=vote[1], verdict=platform.VERDICTS[vote[2]], answer=status
                 )
-                self.state(True, status, told)
+                self.state(True, status, received)
 
     def cast(self, form):
-        """(status, state or None). Never called a second time: what was heard may count."""
-        end, at = host.now() + self.wait, self.at
+        """Sends a vote; returns (status, state or None). Never retried: a vote that was received may have been counted."""
+        deadline, at = host.now() + self.answer_wait, self.at
 
-        def left():
-            return max(1.0, end - host.now())
+        def time_left():
+            return max(1.0, deadline - host.now())
 
-        stream = self.idle(at)
+        stream = self.take_idle_connection(at)
         try:
-            stream = stream or host.connect(at, left())
+            stream = stream or host.connect(at, time_left())
         except host.Refused:
             return ERROR, None
         data = http.request(
@@ -74,12 +88,12 @@
         )
         reader, stream.sent = http.AnswerReader(65536), 0
         try:
-            stream.send(data, left())
-            if not asking.read(stream, reader, left):
+            stream.send(data, time_left())
+            if not asking.read(stream, reader, time_left):
                 return TIMEOUT, None
             answer = platform.vote_answer(reader.status, reader.body)
             if reader.reusable and answer[0] != TIMEOUT:
-                self.kept, stream = (host.now(), at, stream), None
+                self.idle_connection, stream = (host.now(), at, stream), None
             return answer
         except (OSError, host.Timeout, BadAnswer):
             return (TIMEOUT if stream.sent >= len(data) else ERROR), None
@@ -87,46 +101,52 @@
             if stream:
                 stream.close()
 
-    def idle(self, at):
-        kept, self.kept = self.kept, None
-        if not kept:
+    def take_idle_connection(self, at):
+        """The idle connection to an address if it may still be used, or None; any other idle connection is closed."""
+        connection, self.idle_connection = self.idle_connection, None
+        if not connection:
             return None
-        since, where, stream = kept
-        if where == at and host.now() - since < IDLE_TIMEOUT and not stream.waiting():
+        since, address, stream = connection
+        if address == at and host.now() - since < IDLE_TIMEOUT and not stream.waiting():
             return stream
         stream.close()
 
     # ---- notices ----
 
-    def listen(self, turn=0):
-        """Renewed when it ends; one that another has taken over from goes on until that one hears something."""
-        wait = MIN_BACKOFF
-        while turn == self.turn:
+    def listen(self, generation=0):
+        """Reopens the stream of notices whenever it ends, with exponential backoff and jitter.
+
+        Ends once move() has started a newer listener; its open stream goes on until the newer one is accepted."""
+        backoff = MIN_BACKOFF
+        while generation == self.generation:
             try:
-                if self.hear(turn):
-                    wait = MIN_BACKOFF
-            except (OSError, host.Refused, host.Timeout, BadAnswer) as trouble:
-                self.log.info("notices lost", at=self.at, why=str(trouble)[:200] or type(trouble).__name__)
-            host.sleep(wait * (0.5 + self.jitter.random()))
-            wait = min(MAX_BACKOFF, 2 * wait)
-
-    def hear(self, turn):
-        stream, reader, heard = host.connect(self.at, 1000.0), platform.Notices(), False
+                if self.read_notices(generation):
+                    backoff = MIN_BACKOFF
+            except (OSError, host.Refused, host.Timeout, BadAnswer) as error:
+                self.log.info(
+                    "notice stream failed", at=self.at, why=str(error)[:200] or type(error).__name__
+                )
+            host.sleep(backoff * (0.5 + self.jitter.random()))
+            backoff = min(MAX_BACKOFF, 2 * backoff)
+
+    def read_notices(self, generation):
+        """Reads one stream until it ends. Returns whether it was accepted. Raises OSError, Refused, Timeout or BadAnswer."""
+        stream, reader, accepted = host.connect(self.at, 1000.0), platform.Notices(), False
         try:
             stream.send(http.request(b"/api/notices", self.at.encode(), [], b"", b"GET"), 1000.0)
             while True:
                 data = stream.recv(65536, SILENCE_TIMEOUT)
                 if not data:
-                    return heard
-                told = reader.feed(data)
-                if reader.good and not heard:
-                    heard, before, self.stream = True, self.stream, stream
-                    if before:
-                        before.close()  # told on both, a count would be taken twice
-                for event, fields in told:
+                    return accepted
+                notices = reader.feed(data)
+                if reader.good and not accepted:
+                    accepted, previous, self.stream = True, self.stream, stream
+                    if previous:
+                        previous.close()  # a count that arrives on both streams would be added twice
+                for event, fields in notices:
                     self.on_notice(event, fields)
                 if reader.ended:
-                    return heard
+                    return accepted
         finally:
             if self.stream is stream:
                 self.stream = None
@@ -137,6 +157,6 @@
             if event == "news":
                 self.state(False, SUCCEEDED, platform.state(fields))
             elif event == "counts":
-                self.tell("tally", *platform.counts(fields, self.operations))
-        except BadAnswer as bad:
-            self.log.info("notice unread", notice=event[:20], why=str(bad)[:200])
+                self.put_event("tally", *platform.counts(fields, self.operations))
+        except BadAnswer as error:
+            self.log.info("malformed notice", notice=event[:20], why=str(error)[:200])
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -676,7 +676,7 @@
     one.platform.notice(b"event: news\ndata: build=2&stage=0&phase=Progressing&cap=0.5&age_ms=1\n\n")
     one.until(lambda: one.edge.rounds.balancer.version == 2)
     one.platform.notice(b"event: news\ndata: build=9&stage=0&phase=What&cap=0.5&age_ms=1\n\n")
-    one.until(lambda: one.log.said("notice unread"))
+    one.until(lambda: one.log.said("malformed notice"))
     one.platform.streams[0].close()
     one.until(lambda: len(one.platform.streams) == 2)
 
