--- a/gannetfront/edge/budget.py
+++ b/gannetfront/edge/budget.py
@@ -1,66 +1,75 @@
-"""The one owner of descriptors: what clients, nodes and links may hold, and who gives way when they run short.
+"""Budget of file descriptors: limits the connections of clients and nodes and closes idle ones to make room.
 
-Clients hold at most a third by the platform's word; they get somewhat more, so that unusual ones do not crowd out the rest.
-Memory follows: a connection keeps one message at most, so the count of connections bounds it.
+According to the platform, clients hold at most a third. They get half, so that unusual clients do not crowd out
+the rest. This bounds memory too, as a connection buffers one message at most.
 """
 
 from itertools import islice
 
-SPARE = 48  # program, links, peers, and room for the moment between a close and the next open
-MAX_PIPELINED = 8  # open invocations on one connection; more are throttled, as nothing of them ran
-MAX_PENDING = 64  # answers waiting behind one that is not there yet; nothing more is begun then
-READ_AHEAD = 136 << 10  # bytes kept of what is written behind those, so that the client's close is still seen
-START_TIMEOUT = 2000.0  # ms a client has to say who it is, or to finish what it has begun to write
-IDLE_TIMEOUT = 20000.0  # ms a client may hold a connection between requests
-WRITE_TIMEOUT = 3000.0  # ms a client may leave its answer unread
-OVERDUE = 20.0  # ms past its time after which an invocation that nobody decided is ended here; the platform grants more
-BAD_IN_A_ROW = 3  # statements that could not be read, after which a connection is closed
-LOOKED_AT = 16  # connections looked at, the longest idle first, for one to let go
-MAX_LINGERING = 16  # connections, of SPARE, on which what comes behind a last answer is read and dropped
-LINGER_TIMEOUT, LINGER_SIZE = 1000.0, 256 << 10  # ms and bytes of that
+SPARE = 48  # descriptors for the program, links and peers, and for the time between a close and the next open
+MAX_PIPELINED = 8  # open invocations on one connection; further ones are throttled before they run
+MAX_PENDING = 64  # answers queued on one connection; at the limit no more messages are handled
+READ_AHEAD = 136 << 10  # bytes buffered beyond those, so that the client's close is still detected
+START_TIMEOUT = 2000.0  # ms that a client has to send its startup message, or to complete a begun message
+IDLE_TIMEOUT = 20000.0  # ms that a client may hold a connection between requests
+WRITE_TIMEOUT = 3000.0  # ms that a client may leave its answer unread
+OVERDUE = 20.0  # ms past the deadline until an undecided invocation is terminated; the platform allows more
+BAD_IN_A_ROW = 3  # consecutive malformed statements after which a connection is closed
+EVICTION_CANDIDATES = 16  # connections examined for one that can be closed, the longest idle first
+MAX_LINGERING = 16  # connections, out of SPARE, on which data after the final answer is read and discarded
+LINGER_TIMEOUT, LINGER_SIZE = 1000.0, 256 << 10  # ms and bytes of such a close
 
-# What a client's connection is to its owner: nothing was said on it; between requests; part of a startup message was read; at
-# work, which is with part of a request in the reader as much as with an answer owed.
+# States of a client's connection: no data received yet; between requests; startup message partly received; busy,
+# which is with an answer due or a request partly received.
 SILENT, IDLE, STARTING, BUSY = range(4)
 
 
 class Budget:
+    """Counts client connections, tracks their states, and closes idle ones to make room."""
+
     def __init__(self, sockets):
-        room = max(8, sockets - SPARE)
-        self.clients_most, self.nodes_most = room // 2, room - room // 2
-        self.clients, self.states = 0, ({}, {}, {}, {})  # by state: streams, the longest in it first
+        """`sockets` is the number of descriptors that the process may hold."""
+        available = max(8, sockets - SPARE)
+        self.clients_most, self.nodes_most = available // 2, available - available // 2
+        self.clients, self.states = (
+            0,
+            ({}, {}, {}, {}),
+        )  # per state: its streams, the longest in the state first
 
     def enter(self, stream):
-        """A client has come; False where nobody can make room for it."""
+        """Counts a new client connection. False if it is above the limit and no other connection can be closed for it."""
         self.clients += 1
         if self.clients > self.clients_most and not self.evict_idle((SILENT, IDLE, STARTING), 1):
             return False
         self.states[SILENT][stream] = True
         return True
 
-    def evict_idle(self, states, most=None):
-        """Closes connections that nothing is owed on, in that order; how many."""
+    def evict_idle(self, states, limit=None):
+        """Closes connections in these states, in their order, at most `limit` if given. Returns how many were closed."""
         count = 0
         for state in states:
-            for stream in list(islice(self.states[state], most and LOOKED_AT)):
-                # A request that has come but is not read yet was taken: its connection is not idle.
+            for stream in list(islice(self.states[state], limit and EVICTION_CANDIDATES)):
+                # A connection with a request that has arrived but is not read yet is not idle.
                 if not stream.waiting():
                     del self.states[state][stream]
                     stream.close()
                     count += 1
-                    if count == most:
+                    if count == limit:
                         return count
         return count
 
     def mark(self, stream, state):
+        """Records the state of a connection."""
         if stream not in self.states[state]:
             self.forget(stream)
             self.states[state][stream] = True
 
     def forget(self, stream):
-        for some in self.states:
-            some.pop(stream, None)
+        """Removes a connection from all states."""
+        for streams in self.states:
+            streams.pop(stream, None)
 
     def leave(self, stream):
+        """A client connection has ended."""
         self.forget(stream)
         self.clients -= 1
