--- a/gannetfront/edge/__main__.py
+++ b/gannetfront/edge/__main__.py
@@ -1,16 +1,21 @@
-"""`python -m gannetfront.edge`: the proxy on the users' platform, in the foreground, told by its environment."""
+"""`python -m gannetfront.edge`: runs the proxy on the users' platform in the foreground.
+
+EDGE_CONFIG names the configuration file. Exits with status 2 if the configuration is not valid or an address cannot
+be bound.
+"""
 
 import os
 import signal
 import sys
 
-# Before anything that takes time: a signal that comes early must neither kill nor be lost.
-early = []
+# Installed before the slow imports: a signal during startup must neither end the process nor be lost.
+early_signals = []
 for _name in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(_name, lambda number, frame: early.append(number))
+    signal.signal(_name, lambda number, frame: early_signals.append(number))
 
 
 def main():
+    """Starts the proxy and waits until it has drained. Returns the exit status."""
     import gc
     from .. import host
     from ..logs import logs
@@ -25,17 +30,17 @@
     try:
         edge = Edge(config.Start(config.read(path), os.environ), path, log)
         edge.start()
-    except config.BadSetting as bad:
-        print(bad, file=sys.stderr)
+    except config.BadSetting as error:
+        print(error, file=sys.stderr)
         return 2
-    except OSError as trouble:
-        print(f"EDGE_LISTEN, peer_listen: cannot listen: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"EDGE_LISTEN, peer_listen: cannot listen: {error}", file=sys.stderr)
         return 2
     host.on_signal(("SIGTERM", "SIGINT"), edge.drain)
     host.on_signal(("SIGHUP",), edge.reload)
-    if signal.SIGHUP in early:
+    if signal.SIGHUP in early_signals:
         edge.reload()
-    if signal.SIGTERM in early:
+    if signal.SIGTERM in early_signals:
         host.spawn(edge.drain)
     gc.freeze()
     edge.done.wait()
