--- a/gannetfront/edge/__main__.py
+++ b/gannetfront/edge/__main__.py
@@ -1,7 +1,7 @@
 """`python -m gannetfront.edge`: runs the proxy on the users' platform in the foreground.
 
-EDGE_CONFIG names the configuration file. Exits with status 2 if the configuration is not valid or an address cannot
-be bound.
+EDGE_CONFIG names the configuration file. Exits with status 2 if the configuration is not valid or an address
+cannot be bound.
 """
 
 import os
--- a/gannetfront/edge/api.py
+++ b/gannetfront/edge/api.py
@@ -37,7 +37,8 @@
     def state(self, answer, status, received=None):
         """Passes on the newest known state; `answer` says whether it comes with the outcome of a vote.
 
-        States come by several ways that may overtake one another, so `received` is ignored if it is older than the known one."""
+        States come by several ways that may overtake one another, so `received` is ignored if it is older
+        than the known one."""
         if received:
             stage, age, cap, build, phase = received
             began = host.now() - age
@@ -47,7 +48,8 @@
         self.put_event("stage_told", answer, stage, host.now() - began, cap, status, build, phase)
 
     def move(self, at):
-        """Switches to a release API at another address. The old stream stays open until the new one is accepted."""
+        """Switches to a release API at another address. The old stream stays open until the new one is
+        accepted."""
         if at != self.at:
             self.at = at
             self.generation += 1
@@ -72,7 +74,8 @@
                 self.state(True, status, received)
 
     def cast(self, form):
-        """Sends a vote; returns (status, state or None). Never retried: a vote that was received may have been counted."""
+        """Sends a vote; returns (status, state or None). Never retried: a vote that was received may have
+        been counted."""
         deadline, at = host.now() + self.answer_wait, self.at
 
         def time_left():
@@ -102,7 +105,8 @@
                 stream.close()
 
     def take_idle_connection(self, at):
-        """The idle connection to an address if it may still be used, or None; any other idle connection is closed."""
+        """The idle connection to an address if it may still be used, or None; any other idle connection is
+        closed."""
         connection, self.idle_connection = self.idle_connection, None
         if not connection:
             return None
@@ -116,7 +120,8 @@
     def listen(self, generation=0):
         """Reopens the stream of notices whenever it ends, with exponential backoff and jitter.
 
-        Ends once move() has started a newer listener; its open stream goes on until the newer one is accepted."""
+        Ends once move() has started a newer listener; its open stream goes on until the newer one is
+        accepted."""
         backoff = MIN_BACKOFF
         while generation == self.generation:
             try:
@@ -130,7 +135,8 @@
             backoff = min(MAX_BACKOFF, 2 * backoff)
 
     def read_notices(self, generation):
-        """Reads one stream until it ends. Returns whether it was accepted. Raises OSError, Refused, Timeout or BadAnswer."""
+        """Reads one stream until it ends. Returns whether it was accepted. Raises OSError, Refused, Timeout
+        or BadAnswer."""
         stream, reader, accepted = host.connect(self.at, 1000.0), platform.Notices(), False
         try:
             stream.send(http.request(b"/api/notices", self.at.encode(), [], b"", b"GET"), 1000.0)
--- a/gannetfront/edge/budget.py
+++ b/gannetfront/edge/budget.py
@@ -1,7 +1,7 @@
 """Budget of file descriptors: limits the connections of clients and nodes and closes idle ones to make room.
 
-According to the platform, clients hold at most a third. They get half, so that unusual clients do not crowd out
-the rest. This bounds memory too, as a connection buffers one message at most.
+According to the platform, clients hold at most a third. They get half, so that unusual clients do not crowd
+out the rest. This bounds memory too, as a connection buffers one message at most.
 """
 
 from itertools import islice
@@ -19,8 +19,8 @@
 MAX_LINGERING = 16  # connections, out of SPARE, on which data after the final answer is read and discarded
 LINGER_TIMEOUT, LINGER_SIZE = 1000.0, 256 << 10  # ms and bytes of such a close
 
-# States of a client's connection: no data received yet; between requests; startup message partly received; busy,
-# which is with an answer due or a request partly received.
+# States of a client's connection: no data received yet; between requests; startup message partly received;
+# busy, which is with an answer due or a request partly received.
 SILENT, IDLE, STARTING, BUSY = range(4)
 
 
@@ -37,7 +37,8 @@
         )  # per state: its streams, the longest in the state first
 
     def enter(self, stream):
-        """Counts a new client connection. False if it is above the limit and no other connection can be closed for it."""
+        """Counts a new client connection. False if it is above the limit and no other connection can be
+        closed for it."""
         self.clients += 1
         if self.clients > self.clients_most and not self.evict_idle((SILENT, IDLE, STARTING), 1):
             return False
@@ -45,7 +46,8 @@
         return True
 
     def evict_idle(self, states, limit=None):
-        """Closes connections in these states, in their order, at most `limit` if given. Returns how many were closed."""
+        """Closes connections in these states, in their order, at most `limit` if given. Returns how many were
+        closed."""
         count = 0
         for state in states:
             for stream in list(islice(self.states[state], limit and EVICTION_CANDIDATES)):
--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -1,4 +1,5 @@
-"""Client connections on the platform: pipelined queries start as they are read and are answered once each, in order."""
+"""Client connections on the platform: pipelined queries start as they are read and are answered once each, in
+order."""
 
 from collections import Counter, deque
 
@@ -33,7 +34,8 @@
     """All client connections of the proxy, and the ids of the invocations that are open on them."""
 
     def __init__(self, rounds, operations, limits, budget, log):
-        """`operations` has the form that wire/pg.statement takes; `limits` are time limits in ms by operation index."""
+        """`operations` has the form that wire/pg.statement takes; `limits` are time limits in ms by operation
+        index."""
         self.rounds, self.operations, self.limits, self.budget, self.log = (
             rounds,
             operations,
@@ -58,7 +60,8 @@
             elif not Session(self, stream).run():
                 return
 
-            # The proxy ends the connection. The client may still be writing and may not have read the last answer.
+            # The proxy ends the connection. The client may still be writing and may not have read the last
+            # answer.
             def close():
                 return self.lingering.close(stream)
         except (OSError, host.Timeout, ClientDisconnected):
@@ -96,8 +99,9 @@
     def serve(self):
         """Reads and answers until the connection ends.
 
-        Returns True after a final answer, when the client may still be writing, and False when the proxy drains and no
-        answer is due. Raises ClientDisconnected, Timeout or OSError when the client ended the connection."""
+        Returns True after a final answer, when the client may still be writing, and False when the proxy
+        drains and no answer is due. Raises ClientDisconnected, Timeout or OSError when the client ended the
+        connection."""
         stream, reader, since = self.stream, self.reader, host.now()
         while True:
             self.read_messages()
@@ -109,9 +113,9 @@
             if not self.pending and self.final_answer_queued:
                 return True
             state = self.state()
-            # Checked right after the answer: a client that sends its next request at once would otherwise never be found
-            # idle. A request that is present at the first check is served; a later one crosses the close and is retried
-            # elsewhere.
+            # Checked right after the answer: a client that sends its next request at once would otherwise
+            # never be found idle. A request that is present at the first check is served; a later one crosses
+            # the close and is retried elsewhere.
             if self.clients.draining and state in (SILENT, IDLE):
                 if self.drain_checked or not stream.waiting():
                     return False
@@ -148,7 +152,8 @@
                 raise ClientDisconnected
             if not reader.begun and not self.pending:
                 since = host.now()
-            # Reading goes on even if the data is not processed now, or ever: otherwise the client's close is not detected.
+            # Reading goes on even if the data is not processed now, or ever: otherwise the client's close is
+            # not detected.
             if self.final_answer_queued:
                 self.discarded_bytes += len(data)
             else:
--- a/gannetfront/edge/config.py
+++ b/gannetfront/edge/config.py
@@ -85,7 +85,8 @@
             return part(container, name, (int, float), where)
 
         self.connect_limit = number(ceilings, "connectTimeoutMs", "settings.ceilings.")
-        # Well before the server closes an idle connection: a request that crosses the close may have been executed.
+        # Well before the server closes an idle connection: a request that crosses the close may have been
+        # executed.
         self.pool_idle = 0.5 * number(ceilings, "idleCloseMs", "settings.ceilings.")
         self.most_held = int(min(number(ceilings, "mostHeld", "settings.ceilings."), 5000))
         for name, value in (
@@ -109,7 +110,8 @@
             self.known = self.listing.listing(part(document, "known", dict, ""))
         except BadAnswer as error:
             raise BadSetting(f"known: {error}") from None
-        # limits: time limit in ms by operation index. operations: name in bytes -> (index, fingerprinted), for wire/pg.
+        # limits: time limit in ms by operation index. operations: name in bytes -> (index, fingerprinted),
+        # for wire/pg.
         self.limits = [operation.time_limit for operation in self.facts.operations]
         self.operations = {
             operation.name.encode(): (index, operation.effect == "fingerprinted")
--- a/gannetfront/edge/discovery.py
+++ b/gannetfront/edge/discovery.py
@@ -1,12 +1,13 @@
-"""Client of the discovery service: long-polls the list of nodes and resumes from the last version it applied."""
+"""Client of the discovery service: long-polls the list of nodes and resumes from the last version it
+applied."""
 
 from .. import host
 from ..interface import GONE, READY
 from ..wire import BadAnswer, http
 
-# A change counts as delivered 6 s after the watch became unresponsive, which may be right after its request. By then
-# the watch has timed out (3 + 0.5 s), an unresponsive connection attempt after it has timed out too (1 s), and another
-# connection has answered. This leaves 1.5 s for a slow event loop.
+# A change counts as delivered 6 s after the watch became unresponsive, which may be right after its request.
+# By then the watch has timed out (3 + 0.5 s), an unresponsive connection attempt after it has timed out too
+# (1 s), and another connection has answered. This leaves 1.5 s for a slow event loop.
 WATCH_TIMEOUT = 3000.0  # ms that a watch request may wait for changes
 RESPONSE_GRACE = (
     500.0  # ms beyond WATCH_TIMEOUT before a new connection is opened, on which the agent answers at once
@@ -36,7 +37,8 @@
         )  # entries: host -> (entry, dial address, start time)
 
     def address(self, name):
-        """Address at which a node listens. Raises host.Refused for a node that is no longer listed or is listed as gone."""
+        """Address at which a node listens. Raises host.Refused for a node that is no longer listed or is
+        listed as gone."""
         if name not in self.entries or self.entries[name][0][5] == GONE:
             raise host.Refused("not listed")
         return self.entries[name][1]
@@ -46,10 +48,11 @@
         return self.entries[name][0][2] if name in self.entries else 0
 
     def take(self, version, whole, hosts, kind=None):
-        """Applies a listing. Addresses are stored before the listing is published, as the decision module may dispatch at once.
+        """Applies a listing. Addresses are stored before the listing is published, as the decision module may
+        dispatch at once.
 
-        Start times are wall-clock times of other machines. Each is converted to this process's monotonic clock once
-        per incarnation; repeated conversion would make it drift."""
+        Start times are wall-clock times of other machines. Each is converted to this process's monotonic
+        clock once per incarnation; repeated conversion would make it drift."""
         received, self.version = [], version
         for entry, dial, start_time in hosts:
             previous = self.entries.get(entry[0])
@@ -57,7 +60,8 @@
                 entry = (*entry, previous[0][7])
             else:
                 entry = (*entry, host.now() - (1000.0 * host.wall() - start_time) if start_time else 0.0)
-            # Another process now answers at the address, or the node accepts no new dispatches: open connections are retired.
+            # Another process now answers at the address, or the node accepts no new dispatches: open
+            # connections are retired.
             if previous and (
                 (previous[0][2], *previous[1:]) != (entry[2], dial, start_time) or entry[5] != READY
             ):
@@ -105,7 +109,8 @@
                 backoff = min(MAX_BACKOFF, 2 * backoff)
 
     def poll(self, stream, moved, whole):
-        """Sends one request and applies its answer. Returns whether the connection can carry another request."""
+        """Sends one request and applies its answer. Returns whether the connection can carry another
+        request."""
         path = b"/discovery/hosts"
         if not whole:
             path += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_TIMEOUT)
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -1,6 +1,8 @@
-"""The proxy on the users' platform: assembles its parts, connects to nodes, and starts, reloads and drains the process.
+"""The proxy on the users' platform: assembles its parts, connects to nodes, and starts, reloads and drains
+the process.
 
-The parts are client connections, round loop, connection pools, discovery, release API and signals to peers."""
+The parts are client connections, round loop, connection pools, discovery, release API and signals to
+peers."""
 
 from .. import host
 from ..balance import Balancer, retry_delay
@@ -72,9 +74,11 @@
     # ---- connections to nodes ----
 
     def connect(self, name, limit):
-        """Opens a connection to a node and returns it once the node is ready for a query. No query was sent if it fails.
+        """Opens a connection to a node and returns it once the node is ready for a query. No query was sent
+        if it fails.
 
-        Raises host.Refused if the node is not listed, rejects the connection or does not greet within `limit` ms."""
+        Raises host.Refused if the node is not listed, rejects the connection or does not greet within `limit`
+        ms."""
         deadline = host.now() + limit
         stream, greeting = host.connect(self.discovery.address(name), limit), pg.Greeting()
         try:
@@ -87,7 +91,8 @@
                     raise host.Refused("turned away")
             return stream
         except (OSError, BadAnswer):
-            # The node accepted the connection and then closed it, so its process runs, unlike one that refuses connections.
+            # The node accepted the connection and then closed it, so its process runs, unlike one that
+            # refuses connections.
             stream.close()
             raise host.Refused("turned away") from None
         except host.Timeout:
@@ -164,7 +169,8 @@
                 decision_time_before = rounds.decision_time
 
     def reload(self):
-        """SIGHUP: applies the addresses of the configuration file; a file that is not valid changes nothing."""
+        """SIGHUP: applies the addresses of the configuration file; a file that is not valid changes
+        nothing."""
         try:
             discovery, release_api = config.moved(config.read(self.path))
         except config.BadSetting as error:
@@ -175,7 +181,8 @@
         self.api.move(release_api)
 
     def drain(self):
-        """SIGTERM: accepts clients for ACCEPT_GRACE, then closes idle connections and answers all requests that were read."""
+        """SIGTERM: accepts clients for ACCEPT_GRACE, then closes idle connections and answers all requests
+        that were read."""
         if self.draining:
             return
         self.draining = True
