--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -676,7 +676,7 @@
     one.platform.notice(b"event: news\ndata: build=2&stage=0&phase=Progressing&cap=0.5&age_ms=1\n\n")
     one.until(lambda: one.edge.rounds.balancer.version == 2)
     one.platform.notice(b"event: news\ndata: build=9&stage=0&phase=What&cap=0.5&age_ms=1\n\n")
-    one.until(lambda: one.log.said("notice unread"))
+    one.until(lambda: one.log.said("malformed notice"))
     one.platform.streams[0].close()
     one.until(lambda: len(one.platform.streams) == 2)
 
@@ -689,7 +689,7 @@
     with open(one.path, "w") as f:
         f.write("{")
     one.edge.reload()
-    assert "config.json" in one.log.said("configuration not taken")[0]["why"]
+    assert "config.json" in one.log.said("configuration rejected")[0]["why"]
     other = type(one.platform)([one.host(0, share=3.0)])
     other.version = 5
     one.write(discovery=other.at, release_api={"address": other.at, "news": NEWS})
