--- a/gannetfront/logs.py
+++ b/gannetfront/logs.py
@@ -1,4 +1,4 @@
-"""Logs of every program: JSON lines on standard error."""
+"""Structured logging for all programs: JSON lines on standard error."""
 
 import logging
 import sys
@@ -7,6 +7,10 @@
 
 
 def logs(program, level):
+    """Configures structlog for the process and returns a logger whose lines carry `program`.
+
+    `level` is the name of a level of the `logging` module, in either case; raises AttributeError for another.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
