--- a/gannetfront/wire/__init__.py
+++ b/gannetfront/wire/__init__.py
@@ -1,5 +1,5 @@
-"""Codecs without I/O. Every reader of answers raises BadAnswer for what is none, whatever its protocol."""
+"""Protocol codecs without I/O."""
 
 
 class BadAnswer(Exception):
-    pass
+    """An answer that is malformed or too long. The answer readers of all protocols raise it."""
