--- a/gannetfront/wire/frames.py
+++ b/gannetfront/wire/frames.py
@@ -1,47 +1,53 @@
-"""Length-prefixed protobuf frames of the control stream, without I/O."""
+"""Length-prefixed protobuf frames of the control stream, without I/O.
+
+A frame is a length of four bytes, big endian, and a serialized `Frame` message of that length.
+"""
 
 from google.protobuf.message import DecodeError
 
 from .control_pb2 import Frame
 
-MOST = 4 << 20  # bytes of a frame; a list of ten thousand nodes is under 1 MiB
+MAX_FRAME_BYTES = 4 << 20  # a list of ten thousand nodes is under 1 MiB
 
 
 class BadFrame(Exception):
-    pass
+    """Bytes that are not a valid frame, or a frame that is not valid at this point of the stream."""
 
 
 def pack(**body):
-    """`pack(vote=Vote(...))`: the bytes of one frame."""
+    """The bytes of one frame: `pack(vote=Vote(...))`."""
     data = Frame(**body).SerializeToString()
     return len(data).to_bytes(4, "big") + data
 
 
 class FrameReader:
-    """`feed(bytes)` gives the (name, message) pairs that are whole; raises BadFrame, after which nothing more can be
-    read: where the next frame would begin is not known."""
+    """Splits a byte stream into frames of at most `max_size` bytes each."""
 
-    def __init__(self, most=MOST):
-        self.held, self.most = bytearray(), most
+    def __init__(self, max_size=MAX_FRAME_BYTES):
+        self.held, self.max_size = bytearray(), max_size
 
     def feed(self, data):
+        """Returns the (name, message) pairs of the frames that `data` completes.
+
+        Raises BadFrame. The stream cannot be read any further after it, as the start of the next frame is unknown.
+        """
         self.held += data
-        found, at = [], 0
-        while len(self.held) - at >= 4:
-            size = int.from_bytes(self.held[at : at + 4], "big")
-            if size > self.most:
-                raise BadFrame(f"a frame of {size} bytes, past {self.most}")
-            if len(self.held) - at - 4 < size:
+        messages, position = [], 0
+        while len(self.held) - position >= 4:
+            size = int.from_bytes(self.held[position : position + 4], "big")
+            if size > self.max_size:
+                raise BadFrame(f"frame of {size} bytes, but the maximum is {self.max_size}")
+            if len(self.held) - position - 4 < size:
                 break
             frame = Frame()
             try:
-                frame.ParseFromString(bytes(self.held[at + 4 : at + 4 + size]))
+                frame.ParseFromString(bytes(self.held[position + 4 : position + 4 + size]))
             except DecodeError:
-                raise BadFrame(f"{size} bytes that are no frame") from None
+                raise BadFrame(f"{size} bytes could not be decoded as a frame") from None
             name = frame.WhichOneof("body")
             if name is None:
-                raise BadFrame("a frame without a known body")
-            found.append((name, getattr(frame, name)))
-            at += 4 + size
-        del self.held[:at]
-        return found
+                raise BadFrame("frame without a known body")
+            messages.append((name, getattr(frame, name)))
+            position += 4 + size
+        del self.held[:position]
+        return messages
