--- a/gannetfront/wire/generate.py
+++ b/gannetfront/wire/generate.py
@@ -1,4 +1,4 @@
-"""Makes the codecs from the .proto files; grpcio-tools is needed at development time only."""
+"""Generates the protobuf modules from the .proto files. Needs grpcio-tools, a development dependency only."""
 
 from pathlib import Path
 
@@ -6,15 +6,22 @@
 PROTOS = "gannetfront/wire/control.proto", "gannetfront/config/schema.proto"
 
 
-def generate(into):
+def generate(output_directory):
+    """Writes the modules below `output_directory`; raises SystemExit where protoc fails."""
     import grpc_tools
     from grpc_tools import protoc
 
-    shipped = Path(grpc_tools.__file__).parent / "_proto"
-    done = protoc.main(
-        ["protoc", f"-I{ROOT}", f"-I{shipped}", f"--python_out={into}", *(str(ROOT / p) for p in PROTOS)]
+    bundled_protos = Path(grpc_tools.__file__).parent / "_proto"
+    exit_status = protoc.main(
+        [
+            "protoc",
+            f"-I{ROOT}",
+            f"-I{bundled_protos}",
+            f"--python_out={output_directory}",
+            *(str(ROOT / proto) for proto in PROTOS),
+        ]
     )
-    if done:
+    if exit_status:
         raise SystemExit("protoc failed")
 
 
