--- a/gannetfront/wire/asking.py
+++ b/gannetfront/wire/asking.py
@@ -1,33 +1,45 @@
-"""One request and its answer on a stream, from either end: for what is asked seldom. Invocations go by proxy/clients and
-proxy/flights, which know what each byte of them proves."""
+"""One HTTP request and its answer on a stream, for either end of it; meant for infrequent requests.
+
+Invocations use proxy/clients and proxy/flights instead, which track what the bytes sent and received so far prove
+about the execution of the invocation.
+"""
 
 from .. import host
 from . import http
 
 
-def ask(at, path, headers, body, limit, name=None, tls=None, most=65536):
-    """(status, body) of a POST to 'host:port' within `limit` ms; status 0 where the peer ended before it was whole. Raises
-    host.Refused (nothing was sent), host.Timeout, OSError or http.BadAnswer."""
-    end, stream = host.now() + limit, host.connect(at, limit)
+def ask(address, path, headers, body, limit, name=None, tls=None, most=65536):
+    """Sends a POST to `address` ('host:port') and returns (status, body) within `limit` ms.
+
+    The status is 0 where the peer closed the connection before the answer was complete. `name` is the server name
+    that TLS verifies, `most` the largest answer in bytes. Raises host.Refused (nothing was sent), host.Timeout,
+    OSError or http.BadAnswer.
+    """
+    deadline, stream = host.now() + limit, host.connect(address, limit)
 
-    def left():
-        return max(1.0, end - host.now())
+    def time_left():
+        return max(1.0, deadline - host.now())
 
     try:
         if tls:
             stream = host.Secured(stream, tls, name)
-            stream.handshake(left())
-        stream.send(http.request(path, at.encode(), [*headers, (b"connection", b"close")], body), left())
+            stream.handshake(time_left())
+        stream.send(
+            http.request(path, address.encode(), [*headers, (b"connection", b"close")], body), time_left()
+        )
         reader = http.AnswerReader(most)
-        return (reader.status, reader.body) if read(stream, reader, left) else (0, b"")
+        return (reader.status, reader.body) if read(stream, reader, time_left) else (0, b"")
     finally:
         stream.close()
 
 
-def read(stream, reader, left):
-    """Reads an answer until it is whole; False where the peer ended before. `left()` are the ms that remain."""
+def read(stream, reader, time_left):
+    """Reads from `stream` until the answer is complete; returns False where the peer closed it before that.
+
+    `time_left()` returns the remaining time in ms. Raises host.Timeout, OSError or http.BadAnswer.
+    """
     while not reader.whole:
-        data = stream.recv(65536, left())
+        data = stream.recv(65536, time_left())
         reader.feed(data)
         if not data:
             break
@@ -35,11 +47,14 @@
 
 
 def asked(stream, reader, limit):
-    """The next whole request on `stream`, as http.RequestReader gives it, or None where its peer ended. All of it must be here
-    within `limit` ms: one that sends a byte now and then holds nothing open. Raises host.Timeout, OSError or http.BadRequest."""
-    end = host.now() + limit
+    """The next request on `stream` as http.RequestReader returns it, or None where the peer closed the connection.
+
+    The limit of `limit` ms applies to the whole request, so a peer that sends a byte now and then cannot keep the
+    connection open. Raises host.Timeout, OSError or http.BadRequest.
+    """
+    deadline = host.now() + limit
     while not reader.ready:
-        data = stream.recv(65536, max(0.0, end - host.now()))
+        data = stream.recv(65536, max(0.0, deadline - host.now()))
         if not data:
             return None
         reader.feed(data)
