--- a/gannetfront/wire/members.py
+++ b/gannetfront/wire/members.py
@@ -1,25 +1,29 @@
-"""Messages of members as datagrams, without I/O: one frame's body each, of this fleet and version, at most 256 bytes."""
+"""Codec of the membership protocol's datagrams, without I/O.
+
+A datagram is one serialized `Frame` of at most 256 bytes. It carries the protocol version and the fleet's number.
+"""
 
 import xxhash
 from google.protobuf.message import DecodeError
 
 from .control_pb2 import Frame, Gossip
 
-VERSION, MOST = 1, 256
-KINDS, STATES = 4, 4
+VERSION, MOST = 1, 256  # protocol version; largest datagram in bytes
+KIND_COUNT, STATE_COUNT = 4, 4
 
 
 class Bad(Exception):
-    """`str()` is one word for counting: why a datagram is dropped."""
+    """A datagram that is dropped. Its text is one word, the reason under which it is counted."""
 
 
 def fleet_of(name):
-    """A number for a fleet's name: those of another are told from ours."""
+    """The number of the fleet called `name`, by which datagrams of other fleets are recognized and dropped."""
     return xxhash.xxh32(name.encode()).intdigest()
 
 
 def pack(fleet, source, message):
-    kind, seq, about, news = message
+    """The bytes of a (kind, seq, about, updates) message that member `source` sends."""
+    kind, seq, about, updates = message
     return Frame(
         gossip=Gossip(
             version=VERSION,
@@ -28,13 +32,13 @@
             seq=seq,
             source=source,
             about=about,
-            news=[x for one in news for x in one],
+            news=[number for update in updates for number in update],
         )
     ).SerializeToString()
 
 
 def body(data):
-    """(name, message) of the frame that a datagram is; raises Bad."""
+    """(name, message) of the frame in a datagram; the name is None for an unknown body. Raises Bad."""
     if len(data) > MOST:
         raise Bad("long")
     frame = Frame()
@@ -47,26 +51,39 @@
 
 
 def unpack(fleet, data, members):
-    """(source, message); raises Bad. `members` are the numbers of the roster: news of others are passed over."""
-    name, told = body(data)
+    """(source, message) of a datagram with a Gossip message; raises Bad, also where the source is not a member.
+
+    `members` are the numbers of the roster. Updates about other numbers are ignored.
+    """
+    name, gossip = body(data)
     if name != "gossip":
         raise Bad("garbage")
-    return unpack_gossip(fleet, told, members)
+    return unpack_gossip(fleet, gossip, members)
 
 
-def unpack_gossip(fleet, told, members):
-    if told.version != VERSION:
+def unpack_gossip(fleet, gossip, members):
+    """(source, message) of a Gossip message, under the rules of `unpack`."""
+    if gossip.version != VERSION:
         raise Bad("version")
-    if told.fleet != fleet:
+    if gossip.fleet != fleet:
         raise Bad("fleet")
     if (
-        told.kind >= KINDS
-        or len(told.news) % 3
-        or not told.HasField("source")
-        or any(s >= STATES for s in told.news[1::3])
+        gossip.kind >= KIND_COUNT
+        or len(gossip.news) % 3
+        or not gossip.HasField("source")
+        or any(state >= STATE_COUNT for state in gossip.news[1::3])
     ):
         raise Bad("garbage")
-    if told.source not in members:
+    if gossip.source not in members:
         raise Bad("stranger")
-    news = [x for x in zip(told.news[::3], told.news[1::3], told.news[2::3]) if x[0] in members]
-    return told.source, (told.kind, told.seq, told.about if told.HasField("about") else None, news)
+    updates = [
+        update
+        for update in zip(gossip.news[::3], gossip.news[1::3], gossip.news[2::3])
+        if update[0] in members
+    ]
+    return gossip.source, (
+        gossip.kind,
+        gossip.seq,
+        gossip.about if gossip.HasField("about") else None,
+        updates,
+    )
