--- a/gannetfront/wire/duties.py
+++ b/gannetfront/wire/duties.py
@@ -1,68 +1,79 @@
-"""The lease's words between proxies as datagrams, without I/O: one frame's body each, at most 256 bytes."""
+"""Codec of the lease protocol's datagrams between proxies, without I/O.
+
+A datagram is one serialized `Frame` of at most 256 bytes. A message is a tuple of its kind, its ballot and the fields
+of its kind.
+"""
 
 from .control_pb2 import Frame, Lease
 from .members import VERSION, Bad
 
 KINDS = "prepare", "propose", "release", "promise", "accepted", "refused", "holds", "over"
-LONGEST_NAME = 16
+MAX_DUTY_NAME_LENGTH = 16  # characters
 
 
 def pack(fleet, source, duty, message):
+    """The bytes of a message about the lease of `duty` that member `source` sends."""
     kind, ballot, *fields = message
-    told = Lease(
+    lease = Lease(
         version=VERSION, fleet=fleet, source=source, duty=duty, kind=KINDS.index(kind), ballot=ballot
     )
     if kind == "propose":
-        told.token.extend(fields[0])
-        told.span = fields[1]
+        lease.token.extend(fields[0])
+        lease.span = fields[1]
     elif kind == "promise":
-        held_by, token, left = fields
+        held_by, token, time_left = fields
         if token:
-            told.token.extend(token)
-            told.span = left
+            lease.token.extend(token)
+            lease.span = time_left
     elif kind == "refused":
-        told.round, token, left = fields
+        lease.round, token, time_left = fields
         if token:
-            told.token.extend(token)
-            told.span = left
+            lease.token.extend(token)
+            lease.span = time_left
     elif kind == "over":
-        told.state, told.why = fields
-    return Frame(lease=told).SerializeToString()
+        lease.state, lease.why = fields
+    return Frame(lease=lease).SerializeToString()
 
 
 def token_of(numbers):
-    """A token or a ballot; raises Bad."""
+    """A token or a ballot as a tuple of three numbers; raises Bad."""
     if len(numbers) != 3 or max(numbers) >= 2**63:
         raise Bad("garbage")
     return tuple(numbers)
 
 
-def unpack(fleet, told, members):
-    """(source, duty, message) of a Lease; raises Bad."""
-    if told.version != VERSION:
+def unpack(fleet, lease, members):
+    """(source, duty, message) of a Lease message.
+
+    Raises Bad where it is malformed, of another version or fleet, or its source is not one of `members`.
+    """
+    if lease.version != VERSION:
         raise Bad("version")
-    if told.fleet != fleet:
+    if lease.fleet != fleet:
         raise Bad("fleet")
-    if told.kind >= len(KINDS) or not told.HasField("source") or not 0 < len(told.duty) <= LONGEST_NAME:
+    if (
+        lease.kind >= len(KINDS)
+        or not lease.HasField("source")
+        or not 0 < len(lease.duty) <= MAX_DUTY_NAME_LENGTH
+    ):
         raise Bad("garbage")
-    if told.source not in members:
+    if lease.source not in members:
         raise Bad("stranger")
-    kind, ballot = KINDS[told.kind], token_of(told.ballot)
-    if (
-        kind in ("propose", "promise", "refused") and not 0 <= told.span < 1e9
-    ):  # nothing that is not a number passes this
+    kind, ballot = KINDS[lease.kind], token_of(lease.ballot)
+    # The range check also rejects NaN and infinity.
+    if kind in ("propose", "promise", "refused") and not 0 <= lease.span < 1e9:
         raise Bad("garbage")
     if kind == "propose":
-        return told.source, told.duty, (kind, ballot, token_of(told.token), told.span)
+        return lease.source, lease.duty, (kind, ballot, token_of(lease.token), lease.span)
     if kind == "promise":
-        token = token_of(told.token) if told.token else None
-        return told.source, told.duty, (kind, ballot, token and token[1], token, told.span)
+        token = token_of(lease.token) if lease.token else None
+        return lease.source, lease.duty, (kind, ballot, token and token[1], token, lease.span)
     if kind == "refused":
         return (
-            told.source,
-            told.duty,
-            (kind, ballot, told.round, token_of(told.token) if told.token else None, told.span),
+            lease.source,
+            lease.duty,
+            (kind, ballot, lease.round, token_of(lease.token) if lease.token else None, lease.span),
         )
     if kind == "over":
-        return told.source, told.duty, (kind, ballot, told.state, told.why)
-    return told.source, told.duty, (kind, ballot)
+        return lease.source, lease.duty, (kind, ballot, lease.state, lease.why)
+    return lease.source, lease.duty, (kind, ballot)
