--- a/gannetfront/wire/invocation.py
+++ b/gannetfront/wire/invocation.py
@@ -1,12 +1,17 @@
-"""The invocation protocol on HTTP/1.1, without I/O: `POST /<operation>` and its three answers.
+"""The invocation protocol on HTTP/1.1, without I/O: `POST /<operation>` and its three kinds of answer.
 
-Request headers: `Idempotency-Key` (the mark of a fingerprinted invocation), `Gannet-Tenant`, `Gannet-Key` (what it
-concerns; the same key goes together), `Gannet-Patience-Ms` (how long the client still waits). To a node the proxy
-adds `Gannet-From`, `Gannet-Dispatch` and `Gannet-Time-Limit-Ms`; the rest passes through.
+Request headers: `Idempotency-Key` (identifies a fingerprinted invocation), `Gannet-Tenant`, `Gannet-Key` (what the
+invocation concerns; invocations of the same key are routed together) and `Gannet-Patience-Ms` (how long the client
+still waits). In a dispatch to a node the proxy adds `Gannet-From`, `Gannet-Dispatch` and `Gannet-Time-Limit-Ms`; all
+other end-to-end headers pass through.
 
-Answers carry `Gannet-Answer`. succeeded: the node's status, headers and body. throttled: 429, harmless to repeat,
-with `Retry-After` in whole seconds and `Gannet-Retry-After-Ms`. terminated: 504 when time ran out, else 502; it
-promises nothing either way. A node says that it has not begun an invocation with 503 and `Gannet-Unseen: 1`.
+Answers carry `Gannet-Answer`:
+
+- succeeded: the node's status, headers and body.
+- throttled: 429, safe to retry, with `Retry-After` in whole seconds and `Gannet-Retry-After-Ms`.
+- terminated: 504 after a timeout, else 502. The invocation may or may not have been executed.
+
+A node reports that it has not started an invocation with 503 and `Gannet-Unseen: 1`.
 """
 
 from math import ceil, isfinite
@@ -14,7 +19,8 @@
 from ..interface import ERROR, FULL, SUCCEEDED
 from .http import AnswerReader, BadRequest, answer, carried, header, request
 
-OURS = {
+# Headers that are meant for one hop only: the proxy does not forward them between clients and nodes.
+UNFORWARDED_HEADERS = {
     b"gannet-patience-ms",
     b"gannet-from",
     b"gannet-dispatch",
@@ -23,112 +29,124 @@
     b"gannet-unseen",
     b"gannet-retry-after-ms",
 }
-KEY_LIMIT = 256  # bytes of a mark, key or tenant
+MAX_KEY_BYTES = 256  # for Gannet-Key and Idempotency-Key
 
 
 def asked(method, url, headers, operations):
-    """(operation index, tenant or None, key, mark, patience in ms or None); raises BadRequest.
+    """Parses the request line and headers of an invocation.
 
-    `operations` maps names in bytes to an index."""
+    Returns (operation index, tenant or None, key or None, idempotency key or None, patience in ms or None);
+    raises BadRequest. `operations` maps the operations' names in bytes to their indexes.
+    """
     name = url.split(b"?", 1)[0][1:]
     if name not in operations:
         known = b", ".join(operations).decode()
         raise BadRequest(404, f"no operation '{name[:64].decode('latin-1')}'; there are: {known}")
     if method != b"POST":
         raise BadRequest(405, "an invocation is a POST")
-    told = dict(headers)
-    tenant = told.get(b"gannet-tenant")
-    patience = told.get(b"gannet-patience-ms")
+    by_name = dict(headers)
+    tenant = by_name.get(b"gannet-tenant")
+    patience = by_name.get(b"gannet-patience-ms")
     if patience is not None:
         try:
             patience = float(patience)
         except ValueError:
             patience = float("nan")
-        # Nobody waits a time that is not above zero: nothing could be answered before it is over.
+        # A wait of zero or less is over before any answer could be sent.
         if not isfinite(patience) or patience <= 0:
             raise BadRequest(400, "Gannet-Patience-Ms must be a number above 0")
-    key, mark = told.get(b"gannet-key"), told.get(b"idempotency-key")
-    for what, value in (("Gannet-Key", key), ("Idempotency-Key", mark)):
-        if value is not None and not 0 < len(value) <= KEY_LIMIT:
-            raise BadRequest(400, f"{what} must have 1 to {KEY_LIMIT} bytes")
-    text = None if key is None else key.decode("latin-1")
-    return operations[name], tenant, text, mark, patience
+    key, idempotency_key = by_name.get(b"gannet-key"), by_name.get(b"idempotency-key")
+    for header_name, value in (("Gannet-Key", key), ("Idempotency-Key", idempotency_key)):
+        if value is not None and not 0 < len(value) <= MAX_KEY_BYTES:
+            raise BadRequest(400, f"{header_name} must have 1 to {MAX_KEY_BYTES} bytes")
+    key_text = None if key is None else key.decode("latin-1")
+    return operations[name], tenant, key_text, idempotency_key, patience
 
 
 def onward(headers):
-    """What of the client's headers a node gets."""
-    return [(k, v) for k, v in carried(headers) if k not in OURS]
+    """The client's headers that are passed on to a node."""
+    return [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
 
 
 def name_of(content):
-    """What its client calls an invocation, for the trail."""
+    """The client's name for the invocation `content`, as the trail records it; at most 200 characters."""
     _, headers, _ = content
     return (header(headers, b"x-request-id") or header(headers, b"idempotency-key") or b"").decode("latin-1")[
         :200
     ]
 
 
-def dispatch(content, addr, name, seq, limit):
-    """The bytes that a node gets."""
+def dispatch(content, address, name, seq, limit):
+    """The bytes of the request that dispatches the invocation `content` to the node at `address`.
+
+    `name` identifies the proxy, `seq` the dispatch; `limit` is the time limit in ms.
+    """
     path, headers, body = content
-    mine = [
+    proxy_headers = [
         (b"gannet-from", name),
         (b"gannet-dispatch", b"%d" % seq),
         (b"gannet-time-limit-ms", b"%.0f" % limit),
     ]
-    return request(path, addr.encode(), onward(headers) + mine, body)
+    return request(path, address.encode(), onward(headers) + proxy_headers, body)
 
 
 class Reply(AnswerReader):
-    """A node's answer, as a dispatch reads it."""
+    """Reads a node's answer to a dispatch."""
 
-    begins_whole = False  # a node may begin on the head of a request
+    begins_whole = False  # a node may start on the first part of a request
 
     def outcome(self):
-        """What is below 500 is the service's own answer."""
+        """FULL, SUCCEEDED or ERROR. A status below 500 is the service's own answer and counts as succeeded."""
         if self.status == 503 and header(self.headers, b"gannet-unseen") == b"1":
             return FULL
         return SUCCEEDED if self.status < 500 else ERROR
 
     def content(self):
+        """(status, headers, body) of the answer."""
         return self.status, self.headers, self.body
 
     def load(self):
-        """A node's report of its load, {name: figure}; what cannot be read is left out."""
-        load = {}
+        """The load that the node reports, as up to four {name: value}; malformed entries are ignored."""
+        reported = {}
         for part in (header(self.headers, b"gannet-load") or b"").split(b","):
-            name, _, figure = part.strip().partition(b"=")
+            name, _, number = part.strip().partition(b"=")
             try:
-                value = float(figure)
+                value = float(number)
             except ValueError:
                 continue
-            if isfinite(value) and value >= 0 and len(load) < 4:
-                load[name.decode("latin-1")] = value
-        return load
+            if isfinite(value) and value >= 0 and len(reported) < 4:
+                reported[name.decode("latin-1")] = value
+        return reported
 
 
 def succeeded(status, headers, body, keep):
-    mine = [(k, v) for k, v in carried(headers) if k not in OURS]
-    return answer(status, mine + [(b"gannet-answer", b"succeeded")], body, keep)
+    """The bytes of an answer with a node's result; the connection closes after it unless `keep`."""
+    passed_on = [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
+    return answer(status, passed_on + [(b"gannet-answer", b"succeeded")], body, keep)
 
 
 def throttled(retry_in, keep, why=b"throttled: nothing was done or doing it again is harmless\n"):
-    told = [(b"gannet-answer", b"throttled"), (b"content-type", b"text/plain")]
+    """The bytes of an answer that allows a retry, after `retry_in` ms where that is above 0."""
+    headers = [(b"gannet-answer", b"throttled"), (b"content-type", b"text/plain")]
     if retry_in > 0:
-        told += [
+        headers += [
             (b"retry-after", b"%d" % ceil(retry_in / 1000)),
             (b"gannet-retry-after-ms", b"%.0f" % retry_in),
         ]
-    return answer(429, told, why, keep)
+    return answer(429, headers, why, keep)
 
 
 def terminated(late, keep):
-    told = [(b"gannet-answer", b"terminated"), (b"content-type", b"text/plain")]
-    return answer(504 if late else 502, told, b"terminated: it may or may not have been done\n", keep)
+    """The bytes of an answer with an unknown outcome; `late` where the time limit passed."""
+    headers = [(b"gannet-answer", b"terminated"), (b"content-type", b"text/plain")]
+    return answer(504 if late else 502, headers, b"terminated: it may or may not have been done\n", keep)
 
 
-def rejected(bad):
-    """Answer to a BadRequest; it was never taken."""
+def rejected(bad_request):
+    """The bytes of the answer to a request that was rejected with BadRequest; the connection closes after it."""
     return answer(
-        bad.status, [(b"content-type", b"text/plain")], bad.why.encode("latin-1", "replace") + b"\n", False
+        bad_request.status,
+        [(b"content-type", b"text/plain")],
+        bad_request.why.encode("latin-1", "replace") + b"\n",
+        False,
     )
