--- a/gannetfront/parquet.py
+++ b/gannetfront/parquet.py
@@ -1,8 +1,8 @@
 """Reads Parquet files in the calling thread.
 
 `pyarrow.parquet.read_table` uses the dataset reader, whose thread pool is still running when the process
-ends: one run in ten to twenty ended by SIGABRT ("terminate called without an active exception") after all of its
-output (docs/incidents/abort-after-verdict.md).
+ends: one run in ten to twenty ended by SIGABRT ("terminate called without an active exception") after all of
+its output (docs/incidents/abort-after-verdict.md).
 """
 
 import pyarrow.parquet as pq
--- a/gannetfront/trail/log.py
+++ b/gannetfront/trail/log.py
@@ -22,8 +22,9 @@
         """Opens the newest segment, or creates the first; raises records.Damaged if it is not sound.
 
         `delay` is the maximum time in ms from a record to its write, so that one sync covers a group;
-        `rotate` is the size of a segment in bytes; `keep` is the number of closed segments that a rotation leaves;
-        `must` holds the required kinds. A write that takes longer than `patience` ms makes the disk a slow one.
+        `rotate` is the size of a segment in bytes; `keep` is the number of closed segments that a rotation
+        leaves; `must` holds the required kinds. A write that takes longer than `patience` ms makes the disk a
+        slow one.
         """
         self.folder, self.log, self.group_delay, self.segment_size, self.max_closed, self.required = (
             folder,
