--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -5,7 +5,7 @@
 
 from . import host
 
-POLL_INTERVAL, AGAIN, SLOW_WRITE = (
+POLL_INTERVAL, RETRY_INTERVAL, SLOW_WRITE = (
     250.0,
     1000.0,
     1000.0,
@@ -50,7 +50,7 @@
         """Writes changes until the greenlet is stopped."""
         while True:
             # Changes are collected for the poll interval, so that a burst of them is one write.
-            self.wake.take(AGAIN if self.failing else POLL_INTERVAL)
+            self.wake.take(RETRY_INTERVAL if self.failing else POLL_INTERVAL)
             if self.behind:
                 attempted_change = self.write()
                 attempted, self.waiters = (
--- a/gannetfront/trail/log.py
+++ b/gannetfront/trail/log.py
@@ -34,7 +34,7 @@
             keep,
             must,
         )
-        self.waiting, self.lost, self.full, self.wake, self.torn = [], 0, False, host.Mailbox(1), 0
+        self.waiting, self.lost, self.full, self.wake, self.torn_bytes = [], 0, False, host.Mailbox(1), 0
         self.disk, self.running, self.closing, self.ended = Disk(patience), False, False, host.Once()
         self.closes = False  # rotate after the next write, whatever the size of the segment
         files = host.folder_files(folder, ENDING)
@@ -46,9 +46,9 @@
             found, intact_size = records.read(data, first)
             self.next_seq = found[-1][0] + 1 if found else first
             self.file = host.AppendFile(files[-1])
-            self.torn = len(data) - intact_size
-            if self.torn:
-                self.log.warning("torn end of the trail cut off", file=files[-1], bytes=self.torn)
+            self.torn_bytes = len(data) - intact_size
+            if self.torn_bytes:
+                self.log.warning("torn end of the trail cut off", file=files[-1], bytes=self.torn_bytes)
                 self.file.cut(intact_size)
         else:
             self.file = self.segment()
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -163,7 +163,7 @@
 
 
 def test_what_could_not_be_kept_is_kept_later(gate, tmp_path, monkeypatch):
-    monkeypatch.setattr("gannetfront.keptfile.AGAIN", 10.0)
+    monkeypatch.setattr("gannetfront.keptfile.RETRY_INTERVAL", 10.0)
     said, seen = Log(), [b"one"]
     one = KeptFile(str(tmp_path / "f"), lambda: seen[0], "list", said)
     greenlet, gate.error = host.spawn(one.run), 28
--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -180,7 +180,7 @@
     path = next((tmp_path / "t").iterdir())
     path.write_bytes(path.read_bytes() + records.pack(2, 1.0, "intent", {"request": "b"})[:-3])
     reopened = trail()
-    assert reopened.torn and reopened.written("intent", 3000, request="c")
+    assert reopened.torn_bytes and reopened.written("intent", 3000, request="c")
     assert [(r[0], r[3]["request"]) for r in log.read(str(tmp_path / "t"))] == [(1, "a"), (2, "c")]
 
 
