--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -18,26 +18,26 @@
     def __init__(self, path, pack, label, log):
         """`pack()` returns the current state as bytes; `label` names it in log lines.
 
-        Report each change with `changed()` or `keep()`; start `run` in a greenlet.
+        Report each change with `mark_changed()` or `persist()`; start `run` in a greenlet.
         """
         self.path, self.pack, self.label, self.log = path, pack, label, log
         self.latest_change, self.written_change, self.failing = 0, 0, False
         # waiters: [(number of the change, Once that holds whether it was written)]
         self.wake, self.waiters = host.Mailbox(1), []
 
-    behind = property(lambda self: self.written_change != self.latest_change)
+    unwritten = property(lambda self: self.written_change != self.latest_change)
 
-    def changed(self):
+    def mark_changed(self):
         """Marks the state as changed; it is written within the poll interval if the disk allows."""
         self.latest_change += 1
 
-    def keep(self, limit):
+    def persist(self, limit):
         """Marks the state as changed and waits up to `limit` ms until it is on disk; returns whether it is.
 
         For changes that must not take effect before a restart would find them. After False, where the disk is
         slow or refuses the write, the state is still written later.
         """
-        self.changed()
+        self.mark_changed()
         written = host.Once()
         self.waiters.append((self.latest_change, written))
         self.wake.put(True)
@@ -51,7 +51,7 @@
         while True:
             # Changes are collected for the poll interval, so that a burst of them is one write.
             self.wake.take(RETRY_INTERVAL if self.failing else POLL_INTERVAL)
-            if self.behind:
+            if self.unwritten:
                 attempted_change = self.write()
                 attempted, self.waiters = (
                     [waiter for waiter in self.waiters if waiter[0] <= attempted_change],
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -124,7 +124,7 @@
             self.log.warning("list change missed", held=self.kept.revision, told=message.revision)
             self.link.ask_whole()
             return
-        self.file.changed()
+        self.file.mark_changed()
         self.log.info("list", kind=took[0], revision=message.revision, nodes=len(self.kept.nodes))
         self.rounds.put_event("listed", took[0], self.seen(took[1]))
 
@@ -232,7 +232,7 @@
             ("list_revision", "list held", self.kept.revision),
             ("decision_ms", "time spent in decisions", rounds.decision_time),
             ("rounds", "rounds", rounds.round_count),
-            ("list_not_kept", "the list held is newer than its file", self.file.behind),
+            ("list_not_kept", "the list held is newer than its file", self.file.unwritten),
             *(
                 [
                     (f"members_{state}", "proxies of the roster, as this one sees them", n)
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -117,7 +117,7 @@
             # On disk before it is in force: who died in between would serve an older view again, and would then take one from whoever
             # had held the duty before. A disk that does not answer is not waited for any longer: the view's age counts for more.
             self.given = host.now() - whole["age"]
-            if not self.file.keep(KEEPING):
+            if not self.file.persist(KEEPING):
                 self.log.warning("view in force before it is on disk", number=told.number)
             self.swap(host.now() - self.given)
             self.acted(token_of(self.held.epoch), told.number, "done", "")
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -206,7 +206,7 @@
     def give_out(self):
         self.publisher.publish(self.holder.view)
         if self.file:
-            self.file.changed()
+            self.file.mark_changed()
         for link in list(self.links):
             self.give(link)
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -51,7 +51,7 @@
 
     def make(*nodes, **facts):
         made.append(Rig(tmp_path, *nodes, trail=str(tmp_path / "t"), **facts))
-        made[-1].until(lambda: not made[-1].proxy.file.behind)
+        made[-1].until(lambda: not made[-1].proxy.file.unwritten)
         return made[-1]
 
     yield make
@@ -143,7 +143,7 @@
     # Nor does a list that cannot be kept hold up what it says.
     one.nodes.append(Node(ok()))
     one.list(one.nodes[1])
-    one.until(lambda: len(one.proxy.rounds.balancer.servers) == 2 and one.proxy.file.behind)
+    one.until(lambda: len(one.proxy.rounds.balancer.servers) == 2 and one.proxy.file.unwritten)
     assert one.log.said("trail slow")
     one.proxy.stop()
     assert one.log.said("stopped") and one.log.said("trail not whole: its disk does not answer")
@@ -167,12 +167,12 @@
     said, seen = Log(), [b"one"]
     one = KeptFile(str(tmp_path / "f"), lambda: seen[0], "list", said)
     greenlet, gate.error = host.spawn(one.run), 28
-    one.changed()
+    one.mark_changed()
     end = host.now() + 5000
     while not said.said("list not kept") and host.now() < end:
         host.sleep(5)
     gate.error, seen[0] = None, b"two"
-    while one.behind and host.now() < end:
+    while one.unwritten and host.now() < end:
         host.sleep(5)
     assert (tmp_path / "f").read_bytes() == b"two" and len(said.said("list not kept")) == 1
     host.stop(greenlet)
@@ -207,7 +207,7 @@
     gate.open.set()
     assert seen == [(1, "done", 1), (2, "done", 1), (3, "done", 1)] and link.tenancy.number == (5, 3)
     assert len(said.said("view in force before it is on disk")) == 2
-    while link.file.behind:
+    while link.file.unwritten:
         host.sleep(5)
     assert stored() == 3
     host.stop(greenlet)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -406,7 +406,7 @@
 
 def test_list_of_a_restarted_controller_replaces_the_persisted_one(make_rig, tmp_path):
     rig = make_rig(Node(ok(b"old")))
-    rig.until(lambda: (tmp_path / "kept").exists() and not rig.proxy.file.behind)
+    rig.until(lambda: (tmp_path / "kept").exists() and not rig.proxy.file.unwritten)
     rig.close()
     restarted = make_rig(Node(ok(b"new")))  # another list under the same revision as the one on disk
     assert restarted.ask()[2].body == b"new"
@@ -451,7 +451,7 @@
 
 def test_restart_without_the_controller_serves_from_the_persisted_list(make_rig):
     rig = make_rig(Node(ok(b"kept")))
-    rig.until(lambda: (rig.path / "kept").exists() and not rig.proxy.file.behind)
+    rig.until(lambda: (rig.path / "kept").exists() and not rig.proxy.file.unwritten)
     for greenlet in rig.proxy.greenlets:
         host.stop(greenlet)
     rig.proxy.listener.close()
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -501,7 +501,7 @@
 
 def test_restart_with_all_away_serves_the_last_view(place):
     p = place()
-    p.until(lambda: p.view and not p.reader.file.behind and Path(p.facts["state_file"]).exists())
+    p.until(lambda: p.view and not p.reader.file.unwritten and Path(p.facts["state_file"]).exists())
     epoch = p.reader.publisher.epoch
     p.end()
     p.d.stop()
