--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -5,11 +5,9 @@
 
 from . import host
 
-POLL_INTERVAL, RETRY_INTERVAL, SLOW_WRITE = (
-    250.0,
-    1000.0,
-    1000.0,
-)  # ms: between checks for a change; before a retry; after which a write is logged as slow
+POLL_INTERVAL = 250.0  # ms between checks for a change
+RETRY_INTERVAL = 1000.0  # ms before a refused write is retried
+SLOW_WRITE = 1000.0  # ms after which a write is logged as slow
 
 
 class KeptFile:
@@ -20,10 +18,15 @@
 
         Report each change with `mark_changed()` or `persist()`; start `run` in a greenlet.
         """
-        self.path, self.pack, self.label, self.log = path, pack, label, log
-        self.latest_change, self.written_change, self.failing = 0, 0, False
-        # waiters: [(number of the change, Once that holds whether it was written)]
-        self.wake, self.waiters = host.Mailbox(1), []
+        self.path = path
+        self.pack = pack
+        self.label = label
+        self.log = log
+        self.latest_change = 0
+        self.written_change = 0
+        self.failing = False
+        self.wake = host.Mailbox(1)
+        self.waiters = []  # [(number of the change, Once that holds whether it was written)]
 
     unwritten = property(lambda self: self.written_change != self.latest_change)
 
--- a/gannetfront/trail/disk.py
+++ b/gannetfront/trail/disk.py
@@ -11,7 +11,10 @@
 
     def __init__(self, patience):
         """A write that takes longer than `patience` ms makes the disk a slow one."""
-        self.patience, self.write_started, self.slow_since, self.took = patience, None, None, 0.0
+        self.patience = patience
+        self.write_started = None
+        self.slow_since = None
+        self.took = 0.0  # duration of the last write
 
     slow = property(lambda self: self.slow_since is not None)
 
--- a/gannetfront/trail/log.py
+++ b/gannetfront/trail/log.py
@@ -10,8 +10,9 @@
 from . import Refused, records
 from .disk import Disk
 
-# suffix of segment files; ms between attempts on an idle trail; records that may wait for the disk
-ENDING, RETRY_INTERVAL, MAX_WAITING = ".trail", 500.0, 20000
+ENDING = ".trail"  # suffix of segment files
+RETRY_INTERVAL = 500.0  # ms between attempts on an idle trail
+MAX_WAITING = 20000  # records that may wait for the disk
 CLOSE_TIMEOUT = 2000.0  # ms that a stopping program waits for unwritten records
 
 
@@ -26,16 +27,21 @@
         leaves; `must` holds the required kinds. A write that takes longer than `patience` ms makes the disk a
         slow one.
         """
-        self.folder, self.log, self.group_delay, self.segment_size, self.max_closed, self.required = (
-            folder,
-            log,
-            delay,
-            rotate,
-            keep,
-            must,
-        )
-        self.waiting, self.lost, self.full, self.wake, self.torn_bytes = [], 0, False, host.Mailbox(1), 0
-        self.disk, self.running, self.closing, self.ended = Disk(patience), False, False, host.Once()
+        self.folder = folder
+        self.log = log
+        self.group_delay = delay
+        self.segment_size = rotate
+        self.max_closed = keep
+        self.required = must
+        self.waiting = []  # [(kind, wall time, facts, Once)]
+        self.lost = 0  # records dropped and not reported yet
+        self.full = False
+        self.wake = host.Mailbox(1)
+        self.torn_bytes = 0
+        self.disk = Disk(patience)
+        self.running = False
+        self.closing = False
+        self.ended = host.Once()
         self.closes = False  # rotate after the next write, whatever the size of the segment
         files = host.folder_files(folder, ENDING)
         self.next_seq = 1
--- a/gannetfront/trail/records.py
+++ b/gannetfront/trail/records.py
@@ -8,8 +8,8 @@
 
 import xxhash
 
-# bytes: the header is the length (4) and the xxh64 of the body (8); the longest body
-HEADER_SIZE, MAX_BODY_SIZE = 12, 1 << 20
+HEADER_SIZE = 12  # bytes: the length (4) and the xxh64 (8) of the body
+MAX_BODY_SIZE = 1 << 20  # bytes
 
 
 class Damaged(Exception):
