--- a/tests/test_trail.py
+++ b/tests/test_trail.py
@@ -124,10 +124,11 @@
 def test_reading_sealed_segments_starts_no_thread_that_outlives_it(trail, tmp_path):
     """Guards against an abort at process exit, caused by the thread pool of pyarrow's dataset reader.
 
-    `gannet-day` printed its verdict, "rules kept 5/5", and then ended by SIGABRT with `terminate called without
-    an active exception`. `gannet-audit` on the records of that day did so in 11 of 150 runs, reading the trails
-    alone in 14 of 120, the tables or the store alone in 0 of 120 each. `pyarrow.parquet.read_table` uses the
-    dataset reader, whose threads (7 before, 14 after one segment) are still running when the process ends.
+    `gannet-day` printed its verdict, "rules kept 5/5", and then ended by SIGABRT with `terminate called
+    without an active exception`. `gannet-audit` on the records of that day did so in 11 of 150 runs, reading
+    the trails alone in 14 of 120, the tables or the store alone in 0 of 120 each.
+    `pyarrow.parquet.read_table` uses the dataset reader, whose threads (7 before, 14 after one segment) are
+    still running when the process ends.
     docs/incidents/abort-after-verdict.md
     """
     filled(trail, tmp_path)
