--- a/gannetfront/keptfile.py
+++ b/gannetfront/keptfile.py
@@ -5,11 +5,9 @@
 
 from . import host
 
-POLL_INTERVAL, AGAIN, SLOW_WRITE = (
-    250.0,
-    1000.0,
-    1000.0,
-)  # ms: between checks for a change; before a retry; after which a write is logged as slow
+POLL_INTERVAL = 250.0  # ms between checks for a change
+RETRY_INTERVAL = 1000.0  # ms before a refused write is retried
+SLOW_WRITE = 1000.0  # ms after which a write is logged as slow
 
 
 class KeptFile:
@@ -18,26 +16,31 @@
     def __init__(self, path, pack, label, log):
         """`pack()` returns the current state as bytes; `label` names it in log lines.
 
-        Report each change with `changed()` or `keep()`; start `run` in a greenlet.
+        Report each change with `mark_changed()` or `persist()`; start `run` in a greenlet.
         """
-        self.path, self.pack, self.label, self.log = path, pack, label, log
-        self.latest_change, self.written_change, self.failing = 0, 0, False
-        # waiters: [(number of the change, Once that holds whether it was written)]
-        self.wake, self.waiters = host.Mailbox(1), []
+        self.path = path
+        self.pack = pack
+        self.label = label
+        self.log = log
+        self.latest_change = 0
+        self.written_change = 0
+        self.failing = False
+        self.wake = host.Mailbox(1)
+        self.waiters = []  # [(number of the change, Once that holds whether it was written)]
 
-    behind = property(lambda self: self.written_change != self.latest_change)
+    unwritten = property(lambda self: self.written_change != self.latest_change)
 
-    def changed(self):
+    def mark_changed(self):
         """Marks the state as changed; it is written within the poll interval if the disk allows."""
         self.latest_change += 1
 
-    def keep(self, limit):
+    def persist(self, limit):
         """Marks the state as changed and waits up to `limit` ms until it is on disk; returns whether it is.
 
         For changes that must not take effect before a restart would find them. After False, where the disk is
         slow or refuses the write, the state is still written later.
         """
-        self.changed()
+        self.mark_changed()
         written = host.Once()
         self.waiters.append((self.latest_change, written))
         self.wake.put(True)
@@ -50,8 +53,8 @@
         """Writes changes until the greenlet is stopped."""
         while True:
             # Changes are collected for the poll interval, so that a burst of them is one write.
-            self.wake.take(AGAIN if self.failing else POLL_INTERVAL)
-            if self.behind:
+            self.wake.take(RETRY_INTERVAL if self.failing else POLL_INTERVAL)
+            if self.unwritten:
                 attempted_change = self.write()
                 attempted, self.waiters = (
                     [waiter for waiter in self.waiters if waiter[0] <= attempted_change],
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -147,7 +147,7 @@
             )
             self.link.request_full_list()
             return
-        self.file.changed()
+        self.file.mark_changed()
         self.log.info("list", kind=applied[0], revision=message.revision, nodes=len(self.node_list.nodes))
         self.rounds.put_event("listed", applied[0], self.adjusted_entries(applied[1]))
 
@@ -276,7 +276,7 @@
             ("list_revision", "list held", self.node_list.revision),
             ("decision_ms", "time spent in decisions", rounds.decision_time),
             ("rounds", "rounds", rounds.round_count),
-            ("list_not_kept", "the list held is newer than its file", self.file.behind),
+            ("list_not_kept", "the list held is newer than its file", self.file.unwritten),
             *(
                 [
                     (f"members_{state}", "proxies of the roster, as this one sees them", n)
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -141,7 +141,7 @@
             # view again, and would then accept one from an earlier holder of the duty. A disk that does not
             # answer in time is not waited for, as an outdated view would be worse.
             self.newest_confirmed_at = host.now() - view["age"]
-            if not self.file.keep(VIEW_WRITE_TIMEOUT_MS):
+            if not self.file.persist(VIEW_WRITE_TIMEOUT_MS):
                 self.log.warning("view in force before it is on disk", number=message.number)
             self.apply_view(host.now() - self.newest_confirmed_at)
             self.acted(token_of(self.held.epoch), message.number, "done", "")
--- a/gannetfront/tenants/reader.py
+++ b/gannetfront/tenants/reader.py
@@ -262,7 +262,7 @@
         """Sends the view in force to all connected proxies and has it written to disk."""
         self.publisher.publish(self.guard.view)
         if self.file:
-            self.file.changed()
+            self.file.mark_changed()
         for connection in list(self.connections):
             self.send_view(connection)
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -513,7 +513,7 @@
     env = environment()
     env.until(
         lambda: (
-            env.view and not env.reader.file.behind and Path(env.directory_settings["state_file"]).exists()
+            env.view and not env.reader.file.unwritten and Path(env.directory_settings["state_file"]).exists()
         )
     )
     epoch = env.reader.publisher.epoch
