--- a/gannetfront/proxy/links.py
+++ b/gannetfront/proxy/links.py
@@ -5,7 +5,8 @@
 from ..wire import control_pb2 as c, frames
 
 STATUS_BY_CODE = {c.OK: SUCCEEDED, c.MOOT: MOOT, c.FULL: FULL, c.ERROR: ERROR}
-HEARTBEAT_INTERVAL_MS, PEER_TIMEOUT_MS = 1000.0, 4000.0  # a peer that sends nothing for the latter is lost
+HEARTBEAT_INTERVAL_MS = 1000.0
+PEER_TIMEOUT_MS = 4000.0  # a peer that sends nothing for so long is lost
 
 
 class Outdated(Exception):
@@ -13,7 +14,8 @@
 
     def __init__(self, received, newest):
         super().__init__(f"epoch {received} received after {newest}")
-        self.received, self.newest = received, newest
+        self.received = received
+        self.newest = newest
 
 
 class Epochs:
@@ -43,13 +45,14 @@
     def __init__(self, to, log, random, name, max_queued=1024):
         """`to` is an address or a list of them; `random.random()` spreads the reconnects."""
         self.max_queued = max_queued  # frames that wait to be sent
-        self.to, self.log, self.random, self.name = (
-            [to] if isinstance(to, str) else list(to),
-            log,
-            random,
-            name,
-        )
-        self.out, self.up, self.turned_away, self.stream = None, False, False, None
+        self.to = [to] if isinstance(to, str) else list(to)
+        self.log = log
+        self.random = random
+        self.name = name
+        self.out = None
+        self.up = False
+        self.turned_away = False
+        self.stream = None
 
     def set_peer(self, address):
         """Makes `address` the only peer, and closes a stream to any other."""
@@ -157,14 +160,16 @@
         """`node_list` is the list that the proxy holds; its revision and epoch are sent in the hello.
         `on_peers(message)` and `on_list(message)` receive the messages of these names."""
         super().__init__(to, log, random, "control")
-        self.proxy_number, self.node_list, self.answer_wait, self.put_event = (
-            proxy_number,
-            node_list,
-            answer_wait,
-            put_event,
-        )
-        self.signal_address, self.on_peers, self.on_list = signal_address, on_peers, on_list
-        self.pending_votes, self.last_vote_number, self.epochs = {}, 0, Epochs()
+        self.proxy_number = proxy_number
+        self.node_list = node_list
+        self.answer_wait = answer_wait
+        self.put_event = put_event
+        self.signal_address = signal_address
+        self.on_peers = on_peers
+        self.on_list = on_list
+        self.pending_votes = {}
+        self.last_vote_number = 0
+        self.epochs = Epochs()
         self.check = self.epochs.check
 
     def hello(self):
--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -20,12 +20,10 @@
         """`mine` is a checked Proxy whose mates include itself, and `zones` are the names of the fleet's.
 
         Raises ValueError for mates that are duplicate, incomplete or in unknown zones."""
-        self.log, self.fleet, self.dropped, self.reported = (
-            log,
-            wire.fleet_of(mine.member_fleet),
-            Counter(),
-            {},
-        )
+        self.log = log
+        self.fleet = wire.fleet_of(mine.member_fleet)
+        self.dropped = Counter()
+        self.reported = {}
         self.addresses = {mate.number: mate.address for mate in mine.mate}
         if len(self.addresses) < len(mine.mate):
             raise ValueError("mate: two of one number")
@@ -39,9 +37,11 @@
         self.core = Members(
             mine.me, {m.number: m.zone for m in mine.mate}, mine.member_period, random, host.now()
         )
-        self.me, self.period = mine.me, mine.member_period
+        self.me = mine.me
+        self.period = mine.member_period
         self.port = host.Datagrams(mine.member_listen or self.addresses[mine.me])
-        self.stopped, self.sent = False, 0
+        self.stopped = False
+        self.sent = 0
         self.duties = None  # receives the lease messages, which arrive at the same port
 
     # ---- called by the core ----
--- a/gannetfront/proxy/proxy.py
+++ b/gannetfront/proxy/proxy.py
@@ -32,8 +32,11 @@
         `acts` is a Table for the acts that duties had this proxy execute. Raises OSError, ValueError or
         load.BadSetting."""
         facts = load.deployment(fleet, mine.me, mine.zone, mine.wire_lag)
-        self.log, self.stop_limit = log, mine.stop_limit
-        self.node_list, self.stage, self.started_at = PersistedNodeList(), None, host.now()
+        self.log = log
+        self.stop_limit = mine.stop_limit
+        self.node_list = PersistedNodeList()
+        self.stage = None
+        self.started_at = host.now()
         self.file = KeptFile(mine.state_file, lambda: self.node_list.pack(host.now()), "list", log)
         self.pools = Pools(mine.pool_cap, mine.pool_idle, mine.connect_limit)
         self.rounds = RoundLoop(
@@ -58,7 +61,8 @@
             host.make_folder(mine.trail)
             self.rounds.trail = Trail(mine.trail, log, mine.trail_delay, patience=mine.trail_patience)
             self.rounds.needs_trail = [o.effect == SIDE_EFFECTING for o in facts.operations]
-        streams, duties_by_name = {m.number: m.duties for m in mine.mate}, {d.name: d for d in mine.duty}
+        streams = {m.number: m.duties for m in mine.mate}
+        duties_by_name = {d.name: d for d in mine.duty}
         tenants_address = streams.get(mine.me, "") if "tenants" in duties_by_name else mine.tenants
         self.tenants = (
             Tenants(
@@ -97,7 +101,8 @@
             host.chance(mine.seed, 1),
             self.on_list,
         )
-        self.rounds.link, self.rounds.signals = self.link, self.signals
+        self.rounds.link = self.link
+        self.rounds.signals = self.signals
         self.members = Membership(mine, fleet.zone, log, host.chance(mine.seed, 6)) if mine.mate else None
         self.sites = (
             ProxySites(
@@ -110,12 +115,11 @@
             self.sites.staged = lambda: self.stage
         self.duties = make_duties(self, mine, streams, log, acts) if mine.duty else None
         self.done = host.Once()
-        self.max_clients, self.listen_address = mine.most_clients, mine.listen
-        self.tallies, self.sample_share, self.tally_period = (
-            {},
-            facts.rollout.tally_share,
-            facts.rollout.tally_period,
-        )
+        self.max_clients = mine.most_clients
+        self.listen_address = mine.listen
+        self.tallies = {}
+        self.sample_share = facts.rollout.tally_share
+        self.tally_period = facts.rollout.tally_period
         self.random = host.chance(mine.seed, 2)
         self.rounds.on_outcome = (
             self.record_outcome
--- a/gannetfront/proxy/tenants.py
+++ b/gannetfront/proxy/tenants.py
@@ -50,13 +50,18 @@
         """Views come from the address `to`: that of a separate reader or, with `duty`, of the proxy that
         holds this duty. `acted(token, step, how, why)` is called for each view accepted or refused."""
         super().__init__(to, log, random, "tenants")
-        self.duty, self.acted = duty, lambda token, step, how, why: None
-        self.proxy_number, self.put_event, self.held, self.slots = mine.me, put_event, kept.Held(), Slots()
+        self.duty = duty
+        self.acted = lambda token, step, how, why: None
+        self.proxy_number = mine.me
+        self.put_event = put_event
+        self.held = kept.Held()
+        self.slots = Slots()
         self.file = KeptFile(mine.tenants_file, self.pack, "view", log)
         self.tenancy = Tenancy(
             [o.effect for o in facts.operations], mine.tenants_fresh, mine.tenants_costly, mine.tenants_serve
         )
-        self.portions, self.newest_confirmed_at = (), -1e18  # ms; the newest view may not be applied yet
+        self.portions = ()
+        self.newest_confirmed_at = -1e18  # ms; the newest view may not be applied yet
 
     def admit(self, name, operation):
         """Returns (verdict, number) as in tenancy.py."""
