--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -19,7 +19,7 @@
     def __init__(self, mine, zones, log, random):
         """`mine` is a checked Proxy whose mates include itself, and `zones` are the names of the fleet's.
 
-        Raises ValueError for mates that are duplicate, incomplete or in unknown zones."""
+        Raises ValueError for a number given twice, a list without this proxy, a bad address or zone."""
         self.log = log
         self.fleet = wire.fleet_of(mine.member_fleet)
         self.dropped = Counter()
