--- a/tests/edge_rig.py
+++ b/tests/edge_rig.py
@@ -1,4 +1,4 @@
-"""The proxy on the platform against stand-ins on loopback: nodes that speak PostgreSQL, discovery, the release API."""
+"""Runs the proxy on the platform against fakes on loopback: PostgreSQL nodes, discovery and the release API."""
 
 import json
 from struct import pack
@@ -71,13 +71,14 @@
 
 
 def row(value, tag=b"SELECT 1", ready=True):
-    """A node's good answer."""
-    named = pg.message(b"T", b"\0\1val\0" + pack("!IHIhih", 0, 0, 17, -1, -1, 0))
-    data = pg.message(b"D", b"\0\1" + pack("!I", len(value)) + value)
-    return named + data + pg.message(b"C", tag + b"\0") + (pg.READY if ready else b"")
+    """A node's answer to a statement that succeeded: one row with one value."""
+    description = pg.message(b"T", b"\0\1val\0" + pack("!IHIhih", 0, 0, 17, -1, -1, 0))
+    data_row = pg.message(b"D", b"\0\1" + pack("!I", len(value)) + value)
+    return description + data_row + pg.message(b"C", tag + b"\0") + (pg.READY if ready else b"")
 
 
 def said(code):
+    """A node's error answer with this SQLSTATE code."""
     return pg.error(code, "said so") + pg.READY
 
 
@@ -90,7 +91,9 @@
 
 
 class PgNode(Node):
-    """`seen` holds the statements; an answer may be a function of the statement. Each greeting is the next of `greets`."""
+    """A fake PostgreSQL node. `seen` holds the statements; an answer may be a function of the statement.
+
+    Each connection is greeted with the next of `greets`; the last one repeats."""
 
     def __init__(self, *acts, greets=(pg.WELCOME,)):
         self.greets = list(greets)
@@ -99,23 +102,24 @@
     def requests(self, stream):
         reader = pg.ClientReader()
         while True:
-            got = reader.take()
-            if got is None:
+            message = reader.take()
+            if message is None:
                 data = stream.recv(65536, 5000)
                 if not data:
                     return
                 reader.feed(data)
-            elif got[0] == "start":
-                greet = self.greets.pop(0) if len(self.greets) > 1 else self.greets[0]
-                if greet == "silent":
+            elif message[0] == "start":
+                greeting = self.greets.pop(0) if len(self.greets) > 1 else self.greets[0]
+                if greeting == "silent":
                     stream.recv(1, 5000)
-                stream.send(greet, 1000)
-            elif got[0] == "query":
-                yield got[1]
+                stream.send(greeting, 1000)
+            elif message[0] == "query":
+                yield message[1]
 
 
 class Platform:
-    """Discovery and the release API. `spoil` are answers to give once, by path, in place of the true ones."""
+    """Fake discovery service and release API. `spoil` maps a path to answers that are each given once instead
+    of the correct one."""
 
     def __init__(self, hosts):
         self.version, self.hosts, self.told, self.votes, self.spoil, self.watchers, self.streams = (
@@ -138,13 +142,13 @@
         ).encode()
 
     def change(self, *hosts):
-        """Tells who watches of these entries, as changes."""
+        """Replaces these entries and sends them to all watchers as changes."""
         self.version += 1
-        names = {h["host"] for h in hosts}
-        self.hosts = [h for h in self.hosts if h["host"] not in names] + list(hosts)
+        names = {entry["host"] for entry in hosts}
+        self.hosts = [entry for entry in self.hosts if entry["host"] not in names] + list(hosts)
         self.pending = self.listing(False, list(hosts))
-        for once in self.watchers:
-            once.set()
+        for watcher in self.watchers:
+            watcher.set()
 
     def handle(self, stream):
         self.open.append(stream)
@@ -163,9 +167,9 @@
                     stream.send(self.spoil[name].pop(0), 1000)
                 elif name == b"/discovery/hosts":
                     if b"since=%d" % self.version in path:
-                        once = host.Once()
-                        self.watchers.append(once)
-                        stream.recv_or(once, 1, 10000)
+                        watcher = host.Once()
+                        self.watchers.append(watcher)
+                        stream.recv_or(watcher, 1, 10000)
                     whole = b"since" not in path or b"since=%d&" % (self.version - 1) not in path
                     stream.send(http.answer(200, [], self.listing() if whole else self.pending), 1000)
                 elif name == b"/api/notices":
@@ -182,6 +186,7 @@
             pass
 
     def notice(self, text):
+        """Sends text on all open notice streams, as one chunk."""
         for stream in self.streams:
             if stream.open:
                 stream.send(b"%x\r\n%s\r\n" % (len(text), text), 1000)
@@ -201,7 +206,7 @@
 
 
 class Client:
-    """A client that speaks the protocol by hand."""
+    """A PostgreSQL client that writes and reads single protocol messages."""
 
     def __init__(self, at, start=True):
         self.stream, self.held = host.connect(at, 1000), bytearray()
@@ -210,7 +215,7 @@
             self.until(b"Z")
 
     def one(self, limit=3000):
-        """The next message as (type, body); None at the end."""
+        """The next message as (type, body); None if the connection has ended."""
         while len(self.held) < 5 or len(self.held) <= int.from_bytes(self.held[1:5], "big"):
             try:
                 data = self.stream.recv(65536, limit)
@@ -225,36 +230,41 @@
         return kind, body
 
     def until(self, kind):
-        got = []
+        """The messages up to the first one of this type, or up to the end of the connection (None)."""
+        messages = []
         while True:
-            one = self.one()
-            got.append(one)
-            if one is None or one[0] == kind:
-                return got
+            message = self.one()
+            messages.append(message)
+            if message is None or message[0] == kind:
+                return messages
 
     def write(self, *queries):
-        self.stream.send(b"".join(pg.message(b"Q", q + b"\0") for q in queries), 1000)
+        self.stream.send(b"".join(pg.message(b"Q", query + b"\0") for query in queries), 1000)
 
     def ask(self, query):
-        """The value, or the code of the error, or None where the connection ended."""
+        """The value or the error code that answers a query, or None if the connection ended."""
         self.write(query)
         return verdict(self.until(b"Z"))
 
 
 def verdict(messages):
-    for one in messages:
-        if one and one[0] == b"D":
-            return one[1][6:]
-        if one and one[0] == b"E":
-            return fields(one[1])["C"]
+    """The value or the error code in an answer's messages, or None."""
+    for message in messages:
+        if message and message[0] == b"D":
+            return message[1][6:]
+        if message and message[0] == b"E":
+            return fields(message[1])["C"]
     return None
 
 
 def fields(body):
+    """The fields of an error message by their one-letter names."""
     return {part[:1].decode(): part[1:].decode("latin-1") for part in body.split(b"\0") if part}
 
 
 class EdgeRig:
+    """A proxy in this process with its fake nodes and platform."""
+
     def __init__(self, tmp_path, *nodes, sockets=256, known=True, **more):
         self.nodes, self.log, self.path = list(nodes), Log(), str(tmp_path / "config.json")
         self.platform = Platform([self.host(n) for n in range(len(nodes))])
@@ -275,11 +285,13 @@
         self.at = self.edge.listener.where
 
     def write(self, **more):
+        """Writes the configuration file, with these fields changed."""
         self.told |= more
         with open(self.path, "w") as f:
             json.dump(self.told, f)
 
     def host(self, n, **more):
+        """The discovery entry of a node, with these fields changed."""
         return {
             "host": f"s-{n}",
             "dial": self.nodes[n].at,
@@ -292,19 +304,20 @@
             "revision_no": 1,
         } | more
 
-    def client(self, **facts):
-        return Client(self.at, **facts)
+    def client(self, **options):
+        return Client(self.at, **options)
 
-    def until(self, true, limit=3000):
-        end = host.now() + limit
-        while not true():
-            assert host.now() < end, f"never came about; {self.log.lines[-5:]}"
+    def until(self, condition, limit=3000):
+        """Waits until the condition holds; fails after `limit` ms."""
+        deadline = host.now() + limit
+        while not condition():
+            assert host.now() < deadline, f"condition not met in time; {self.log.lines[-5:]}"
             host.sleep(3)
 
     def close(self):
         self.edge.listener.close()
-        for one in self.edge.greenlets:
-            host.stop(one)
+        for greenlet in self.edge.greenlets:
+            host.stop(greenlet)
         self.platform.close()
         for node in self.nodes:
             node.close()
