--- a/gannetfront/edge/budget.py
+++ b/gannetfront/edge/budget.py
@@ -30,7 +30,7 @@
     def __init__(self, sockets):
         """`sockets` is the number of descriptors that the process may hold."""
         available = max(8, sockets - SPARE)
-        self.clients_most, self.nodes_most = available // 2, available - available // 2
+        self.max_clients, self.max_node_connections = available // 2, available - available // 2
         self.clients, self.states = (
             0,
             ({}, {}, {}, {}),
@@ -40,7 +40,7 @@
         """Counts a new client connection. False if it is above the limit and no other connection can be
         closed for it."""
         self.clients += 1
-        if self.clients > self.clients_most and not self.evict_idle((SILENT, IDLE, STARTING), 1):
+        if self.clients > self.max_clients and not self.evict_idle((SILENT, IDLE, STARTING), 1):
             return False
         self.states[SILENT][stream] = True
         return True
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -30,7 +30,7 @@
         """`start` is a config.Start; `path` names the configuration file, which reload() reads again."""
         self.path, self.log, self.budget = path, log, start.budget
         self.pools = Pools(
-            self.budget.nodes_most, start.pool_idle, start.connect_limit, self.connect, self.room
+            self.budget.max_node_connections, start.pool_idle, start.connect_limit, self.connect, self.room
         )
         self.rounds = RoundLoop(
             lambda: Balancer(start.seed, start.facts),
@@ -104,7 +104,7 @@
 
     def room(self):
         """Whether one more node connection may be opened; closes an idle one if necessary."""
-        return self.pools.size() < self.budget.nodes_most or self.pools.close_oldest_idle()
+        return self.pools.size() < self.budget.max_node_connections or self.pools.close_oldest_idle()
 
     def refill(self):
         """Gives a restarted balancer the list of nodes and the release state."""
@@ -135,8 +135,8 @@
             "serving",
             at=self.listener.where,
             nodes=len(self.discovery.entries),
-            clients=self.budget.clients_most,
-            to_nodes=self.budget.nodes_most,
+            clients=self.budget.max_clients,
+            to_nodes=self.budget.max_node_connections,
         )
 
     def tend(self):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -562,7 +562,7 @@
     one = rig(PgNode(), PgNode(), sockets=budget.SPARE + 8)
     for n in range(12):
         assert one.client().ask(select(f"{n:02x}")) == b"\\x9f03"
-    assert one.edge.pools.size() <= one.edge.budget.nodes_most
+    assert one.edge.pools.size() <= one.edge.budget.max_node_connections
 
 
 def test_a_well_known_client_library(rig):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -150,7 +150,7 @@
 
 def test_one_turned_away_hears_why_though_it_has_asked_already(rig):
     one = rig(PgNode([20000, GOOD]), sockets=budget.SPARE + 8, settings=PATIENT)
-    busy = [one.client() for _ in range(one.edge.budget.clients_most)]
+    busy = [one.client() for _ in range(one.edge.budget.max_clients)]
     for n, client in enumerate(busy):
         client.write(select(f"0{n}"))
     one.until(lambda: len(one.edge.budget.states[budget.BUSY]) == len(busy))
