--- a/gannetfront/edge/budget.py
+++ b/gannetfront/edge/budget.py
@@ -13,15 +13,15 @@
 START_TIMEOUT = 2000.0  # ms that a client has to send its startup message, or to complete a begun message
 IDLE_TIMEOUT = 20000.0  # ms that a client may hold a connection between requests
 WRITE_TIMEOUT = 3000.0  # ms that a client may leave its answer unread
-OVERDUE = 20.0  # ms past the deadline until an undecided invocation is terminated; the platform allows more
-BAD_IN_A_ROW = 3  # consecutive malformed statements after which a connection is closed
+OVERDUE_GRACE = 20.0  # ms past the deadline until an undecided invocation is ended; the platform allows more
+MAX_CONSECUTIVE_ERRORS = 3  # consecutive malformed statements after which a connection is closed
 EVICTION_CANDIDATES = 16  # connections examined for one that can be closed, the longest idle first
 MAX_LINGERING = 16  # connections, out of SPARE, on which data after the final answer is read and discarded
 LINGER_TIMEOUT, LINGER_SIZE = 1000.0, 256 << 10  # ms and bytes of such a close
 
 # States of a client's connection: no data received yet; between requests; startup message partly received;
 # busy, which is with an answer due or a request partly received.
-SILENT, IDLE, STARTING, BUSY = range(4)
+UNUSED, IDLE, STARTING, BUSY = range(4)
 
 
 class Budget:
@@ -40,9 +40,9 @@
         """Counts a new client connection. False if it is above the limit and no other connection can be
         closed for it."""
         self.clients += 1
-        if self.clients > self.max_clients and not self.evict_idle((SILENT, IDLE, STARTING), 1):
+        if self.clients > self.max_clients and not self.evict_idle((UNUSED, IDLE, STARTING), 1):
             return False
-        self.states[SILENT][stream] = True
+        self.states[UNUSED][stream] = True
         return True
 
     def evict_idle(self, states, limit=None):
--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -7,20 +7,20 @@
 from ..interface import SUCCEEDED
 from ..wire import pg
 from .budget import (
-    BAD_IN_A_ROW,
     BUSY,
     IDLE,
     IDLE_TIMEOUT,
     LINGER_SIZE,
     LINGER_TIMEOUT,
+    MAX_CONSECUTIVE_ERRORS,
     MAX_LINGERING,
     MAX_PENDING,
     MAX_PIPELINED,
-    OVERDUE,
+    OVERDUE_GRACE,
     READ_AHEAD,
-    SILENT,
-    START_TIMEOUT,
     STARTING,
+    START_TIMEOUT,
+    UNUSED,
     WRITE_TIMEOUT,
 )
 from .config import MARGIN
@@ -116,7 +116,7 @@
             # Checked right after the answer: a client that sends its next request at once would otherwise
             # never be found idle. A request that is present at the first check is served; a later one crosses
             # the close and is retried elsewhere.
-            if self.clients.draining and state in (SILENT, IDLE):
+            if self.clients.draining and state in (UNUSED, IDLE):
                 if self.drain_checked or not stream.waiting():
                     return False
                 self.drain_checked = True
@@ -127,7 +127,7 @@
                     data = stream.recv(65536, since + timeout - host.now())
                 else:
                     held = self.pending[0][0]
-                    time_left = held.deadline + OVERDUE - host.now()
+                    time_left = held.deadline + OVERDUE_GRACE - host.now()
                     if time_left <= 0:
                         # No decision in time, for whatever reason: answer while the client still waits.
                         self.clients.log.error("answer overdue", inv=held.invocation_id)
@@ -169,7 +169,7 @@
         if self.pending or self.final_answer_queued or self.reader.started and self.reader.begun:
             return BUSY
         return (
-            IDLE if self.reader.started else STARTING if self.reader.begun or self.reader.wishes else SILENT
+            IDLE if self.reader.started else STARTING if self.reader.begun or self.reader.wishes else UNUSED
         )
 
     def take_answers(self):
@@ -221,7 +221,7 @@
     def handle_query(self, sql):
         """The encoded answer, or (Held, invocation id) for an invocation that was started.
 
-        Raises pg.BadMessage after BAD_IN_A_ROW consecutive statements that could not be read."""
+        Raises pg.BadMessage after MAX_CONSECUTIVE_ERRORS consecutive statements that could not be read."""
         if not sql.strip(b" \t\r\n;"):
             return pg.EMPTY + pg.READY
         try:
@@ -229,7 +229,7 @@
         except pg.BadMessage as error:
             self.clients.turned_away[error.code.decode()] += 1
             self.consecutive_errors += 1
-            if self.consecutive_errors >= BAD_IN_A_ROW:
+            if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
                 raise pg.BadMessage(error.code, error.why, True) from None
             return pg.error(error.code, error.why) + pg.READY
 
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -13,7 +13,7 @@
 from ..wire import BadAnswer, pg
 from . import config
 from .api import ReleaseApi
-from .budget import IDLE, SILENT
+from .budget import IDLE, UNUSED
 from .clients import Clients
 from .discovery import Discovery
 
@@ -193,7 +193,7 @@
             host.spawn(self.clients.handle, stream)
         self.listener.close()
         self.clients.draining = True
-        self.budget.evict_idle((SILENT, IDLE))
+        self.budget.evict_idle((UNUSED, IDLE))
         host.sleep(0)  # the handlers just spawned register in clients.open
         while self.clients.open:
             host.sleep(5)
