--- a/gannetfront/edge/config.py
+++ b/gannetfront/edge/config.py
@@ -17,7 +17,7 @@
 MARGIN = 10.0  # ms subtracted from a client's time limit, so that the answer is written before it ends
 
 
-def part(container, name, kind, where):
+def field(container, name, kind, where):
     """The field of an object of the file. Raises BadSetting if it is missing or not of the type `kind`.
 
     `where` is the path of the object, with its trailing dot, for the error message."""
@@ -28,7 +28,7 @@
     return value
 
 
-def place(text, where):
+def host_port(text, where):
     """Returns an address in the form host:port; raises BadSetting for any other text."""
     try:
         host.address(text)
@@ -51,11 +51,11 @@
     return document
 
 
-def moved(document):
+def runtime_addresses(document):
     """The addresses that may change while the proxy runs: (discovery, release API)."""
     return (
-        place(document.get("discovery"), "discovery"),
-        place(part(document, "release_api", dict, "").get("address"), "release_api.address"),
+        host_port(document.get("discovery"), "discovery"),
+        host_port(field(document, "release_api", dict, "").get("address"), "release_api.address"),
     )
 
 
@@ -64,25 +64,25 @@
 
     def __init__(self, document, environment):
         """`document` is what read() returns; `environment` overrides some of its addresses."""
-        settings = part(document, "settings", dict, "")
+        settings = field(document, "settings", dict, "")
         self.facts = codec.deployment_from_settings(settings)
         zones, kinds = (
-            part(settings, "localities", list, "settings."),
-            part(settings, "models", list, "settings."),
+            field(settings, "localities", list, "settings."),
+            field(settings, "models", list, "settings."),
         )
         if self.facts.zone >= len(zones):
             raise BadSetting(
                 f"settings.myZone: must be one of the {len(zones)} localities, not {self.facts.zone}"
             )
         self.me, self.listing = self.facts.me, Listing(zones, kinds)
-        self.listen = place(environment.get("EDGE_LISTEN") or document.get("listen"), "EDGE_LISTEN")
-        self.discovery, self.release_api = moved(document)
+        self.listen = host_port(environment.get("EDGE_LISTEN") or document.get("listen"), "EDGE_LISTEN")
+        self.discovery, self.release_api = runtime_addresses(document)
         if environment.get("EDGE_DISCOVERY"):
-            self.discovery = place(environment["EDGE_DISCOVERY"], "EDGE_DISCOVERY")
-        ceilings, limits = part(settings, "ceilings", dict, "settings."), part(document, "limits", dict, "")
+            self.discovery = host_port(environment["EDGE_DISCOVERY"], "EDGE_DISCOVERY")
+        ceilings, limits = field(settings, "ceilings", dict, "settings."), field(document, "limits", dict, "")
 
         def number(container, name, where):
-            return part(container, name, (int, float), where)
+            return field(container, name, (int, float), where)
 
         self.connect_limit = number(ceilings, "connectTimeoutMs", "settings.ceilings.")
         # Well before the server closes an idle connection: a request that crosses the close may have been
@@ -103,11 +103,11 @@
         except ValueError:
             raise BadSetting(f"seed: {seed[:40]!r} is not hexadecimal") from None
         try:
-            self.news = news(part(document["release_api"], "news", dict, "release_api."))
+            self.initial_state = news(field(document["release_api"], "news", dict, "release_api."))
         except BadAnswer as error:
             raise BadSetting(f"release_api.news: {error}") from None
         try:
-            self.known = self.listing.listing(part(document, "known", dict, ""))
+            self.initial_listing = self.listing.listing(field(document, "known", dict, ""))
         except BadAnswer as error:
             raise BadSetting(f"known: {error}") from None
         # limits: time limit in ms by operation index. operations: name in bytes -> (index, fingerprinted),
@@ -117,14 +117,18 @@
             operation.name.encode(): (index, operation.effect == "fingerprinted")
             for index, operation in enumerate(self.facts.operations)
         }
-        self.by_name = {operation.name: index for index, operation in enumerate(self.facts.operations)}
+        self.operation_indexes = {
+            operation.name: index for index, operation in enumerate(self.facts.operations)
+        }
         peers = document.get("peers") or []
         if not isinstance(peers, list):
             raise BadSetting("peers: must be a list")
-        peers_by_id = {str(index): place(address, f"peers[{index}]") for index, address in enumerate(peers)}
+        peers_by_id = {
+            str(index): host_port(address, f"peers[{index}]") for index, address in enumerate(peers)
+        }
         self.peers = {peer_id: address for peer_id, address in peers_by_id.items() if peer_id != str(self.me)}
         self.peer_listen = (
-            place(document["peer_listen"], "peer_listen") if document.get("peer_listen") else None
+            host_port(document["peer_listen"], "peer_listen") if document.get("peer_listen") else None
         )
         if not self.peer_listen:
             # The setting allows signals, but without an address to listen at none can be received from peers.
--- a/gannetfront/edge/edge.py
+++ b/gannetfront/edge/edge.py
@@ -30,7 +30,11 @@
         """`start` is a config.Start; `path` names the configuration file, which reload() reads again."""
         self.path, self.log, self.budget = path, log, start.budget
         self.pools = Pools(
-            self.budget.max_node_connections, start.pool_idle, start.connect_limit, self.connect, self.room
+            self.budget.max_node_connections,
+            start.pool_idle,
+            start.connect_limit,
+            self.connect,
+            self.make_room,
         )
         self.rounds = RoundLoop(
             lambda: Balancer(start.seed, start.facts),
@@ -55,7 +59,7 @@
         )
         self.api = ReleaseApi(
             start.release_api,
-            start.by_name,
+            start.operation_indexes,
             start.facts.rollout.answer_wait,
             self.rounds.put_event,
             jitter,
@@ -68,8 +72,8 @@
             self.signals = Signals(start.me, start.peer_listen, self.rounds.put_event, bare=True)
             self.signals.set_peers(start.peers)
             self.rounds.signals = self.signals
-        self.discovery.take(*start.known, "kept")
-        self.api.state(False, SUCCEEDED, start.news)
+        self.discovery.take(*start.initial_listing, "kept")
+        self.api.state(False, SUCCEEDED, start.initial_state)
 
     # ---- connections to nodes ----
 
@@ -102,7 +106,7 @@
             stream.close()
             raise
 
-    def room(self):
+    def make_room(self):
         """Whether one more node connection may be opened; closes an idle one if necessary."""
         return self.pools.size() < self.budget.max_node_connections or self.pools.close_oldest_idle()
 
@@ -126,7 +130,7 @@
                 self.discovery.run,
                 self.api.run,
                 self.api.listen,
-                self.tend,
+                self.maintain,
                 *([self.signals.run] if self.signals else []),
             )
         ]
@@ -139,7 +143,7 @@
             to_nodes=self.budget.max_node_connections,
         )
 
-    def tend(self):
+    def maintain(self):
         """Closes idle node connections and logs a status line every STATUS_INTERVAL."""
         reported_at, decision_time_before = host.now(), 0.0
         while True:
@@ -172,7 +176,7 @@
         """SIGHUP: applies the addresses of the configuration file; a file that is not valid changes
         nothing."""
         try:
-            discovery, release_api = config.moved(config.read(self.path))
+            discovery, release_api = config.runtime_addresses(config.read(self.path))
         except config.BadSetting as error:
             self.log.error("configuration rejected", why=str(error))
             return
