--- a/gannetfront/edge/api.py
+++ b/gannetfront/edge/api.py
@@ -16,21 +16,17 @@
     def __init__(self, at, operations, answer_wait, put_event, jitter, log):
         """`operations` maps names to an index; `answer_wait` is the time limit of a vote in ms;
         `put_event(name, *fields)` passes an event on to the decision module."""
-        self.at, self.operations, self.answer_wait, self.put_event, self.jitter, self.log = (
-            at,
-            operations,
-            answer_wait,
-            put_event,
-            jitter,
-            log,
-        )
-        self.votes, self.newest, self.idle_connection, self.generation, self.stream = (
-            host.Mailbox(16),
-            None,
-            None,
-            0,
-            None,
-        )
+        self.at = at
+        self.operations = operations
+        self.answer_wait = answer_wait
+        self.put_event = put_event
+        self.jitter = jitter
+        self.log = log
+        self.votes = host.Mailbox(16)
+        self.newest = None
+        self.idle_connection = None
+        self.generation = 0
+        self.stream = None
 
     # ---- release state ----
 
--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -36,14 +36,14 @@
     def __init__(self, rounds, operations, limits, budget, log):
         """`operations` has the form that wire/pg.statement takes; `limits` are time limits in ms by operation
         index."""
-        self.rounds, self.operations, self.limits, self.budget, self.log = (
-            rounds,
-            operations,
-            limits,
-            budget,
-            log,
-        )
-        self.open, self.ids, self.turned_away = set(), set(), Counter()
+        self.rounds = rounds
+        self.operations = operations
+        self.limits = limits
+        self.budget = budget
+        self.log = log
+        self.open = set()
+        self.ids = set()
+        self.turned_away = Counter()
         self.draining = False  # a connection is closed once all its answers are sent
         self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE)
 
@@ -76,14 +76,15 @@
     """One client connection: reads its messages and sends the answers in order."""
 
     def __init__(self, clients, stream):
-        self.clients, self.stream, self.reader = clients, stream, pg.ClientReader()
-        self.pending, self.open_count, self.final_answer_queued, self.drain_checked = (
-            deque(),
-            0,
-            False,
-            False,
-        )  # pending: encoded answers, and (Held, invocation id) of invocations that are not yet answered
-        self.consecutive_errors, self.discarded_bytes = 0, 0
+        self.clients = clients
+        self.stream = stream
+        self.reader = pg.ClientReader()
+        self.pending = deque()  # encoded answers, and (Held, invocation id) of invocations not yet answered
+        self.open_count = 0
+        self.final_answer_queued = False
+        self.drain_checked = False
+        self.consecutive_errors = 0
+        self.discarded_bytes = 0
 
     def run(self):
         """Serves the connection; returns and raises as serve() does."""
--- a/gannetfront/edge/discovery.py
+++ b/gannetfront/edge/discovery.py
@@ -22,19 +22,15 @@
 
     def __init__(self, at, listing, publish, pools, jitter, log):
         """`publish(kind, entries)` passes a listing on to the decision module."""
-        self.at, self.listing, self.publish, self.pools, self.jitter, self.log = (
-            at,
-            listing,
-            publish,
-            pools,
-            jitter,
-            log,
-        )
-        self.version, self.entries, self.moved = (
-            0,
-            {},
-            host.Once(),
-        )  # entries: host -> (entry, dial address, start time)
+        self.at = at
+        self.listing = listing
+        self.publish = publish
+        self.pools = pools
+        self.jitter = jitter
+        self.log = log
+        self.version = 0
+        self.entries = {}  # host -> (entry, dial address, start time)
+        self.moved = host.Once()
 
     def address(self, name):
         """Address at which a node listens. Raises host.Refused for a node that is no longer listed or is
--- a/tests/edge_rig.py
+++ b/tests/edge_rig.py
@@ -122,15 +122,13 @@
     of the correct one."""
 
     def __init__(self, hosts):
-        self.version, self.hosts, self.told, self.votes, self.spoil, self.watchers, self.streams = (
-            1,
-            hosts,
-            1,
-            [],
-            {},
-            [],
-            [],
-        )
+        self.version = 1
+        self.hosts = hosts
+        self.told = 1
+        self.votes = []
+        self.spoil = {}
+        self.watchers = []
+        self.streams = []
         self.vote_answers, self.asked, self.open = [], [], []
         self.listener = host.Listener("127.0.0.1:0")
         self.at = self.listener.where
