--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -7,20 +7,20 @@
 from ..interface import SUCCEEDED
 from ..wire import pg
 from .budget import (
-    BAD_IN_A_ROW,
     BUSY,
     IDLE,
     IDLE_TIMEOUT,
     LINGER_SIZE,
     LINGER_TIMEOUT,
+    MAX_CONSECUTIVE_ERRORS,
     MAX_LINGERING,
     MAX_PENDING,
     MAX_PIPELINED,
-    OVERDUE,
+    OVERDUE_GRACE,
     READ_AHEAD,
-    SILENT,
-    START_TIMEOUT,
     STARTING,
+    START_TIMEOUT,
+    UNUSED,
     WRITE_TIMEOUT,
 )
 from .config import MARGIN
@@ -36,14 +36,14 @@
     def __init__(self, rounds, operations, limits, budget, log):
         """`operations` has the form that wire/pg.statement takes; `limits` are time limits in ms by operation
         index."""
-        self.rounds, self.operations, self.limits, self.budget, self.log = (
-            rounds,
-            operations,
-            limits,
-            budget,
-            log,
-        )
-        self.open, self.ids, self.turned_away = set(), set(), Counter()
+        self.rounds = rounds
+        self.operations = operations
+        self.limits = limits
+        self.budget = budget
+        self.log = log
+        self.open = set()
+        self.ids = set()
+        self.turned_away = Counter()
         self.draining = False  # a connection is closed once all its answers are sent
         self.lingering = host.LingeringCloses(MAX_LINGERING, LINGER_TIMEOUT, LINGER_SIZE)
 
@@ -76,14 +76,15 @@
     """One client connection: reads its messages and sends the answers in order."""
 
     def __init__(self, clients, stream):
-        self.clients, self.stream, self.reader = clients, stream, pg.ClientReader()
-        self.pending, self.open_count, self.final_answer_queued, self.drain_checked = (
-            deque(),
-            0,
-            False,
-            False,
-        )  # pending: encoded answers, and (Held, invocation id) of invocations that are not yet answered
-        self.consecutive_errors, self.discarded_bytes = 0, 0
+        self.clients = clients
+        self.stream = stream
+        self.reader = pg.ClientReader()
+        self.pending = deque()  # encoded answers, and (Held, invocation id) of invocations not yet answered
+        self.open_count = 0
+        self.final_answer_queued = False
+        self.drain_checked = False
+        self.consecutive_errors = 0
+        self.discarded_bytes = 0
 
     def run(self):
         """Serves the connection; returns and raises as serve() does."""
@@ -116,7 +117,7 @@
             # Checked right after the answer: a client that sends its next request at once would otherwise
             # never be found idle. A request that is present at the first check is served; a later one crosses
             # the close and is retried elsewhere.
-            if self.clients.draining and state in (SILENT, IDLE):
+            if self.clients.draining and state in (UNUSED, IDLE):
                 if self.drain_checked or not stream.waiting():
                     return False
                 self.drain_checked = True
@@ -127,7 +128,7 @@
                     data = stream.recv(65536, since + timeout - host.now())
                 else:
                     held = self.pending[0][0]
-                    time_left = held.deadline + OVERDUE - host.now()
+                    time_left = held.deadline + OVERDUE_GRACE - host.now()
                     if time_left <= 0:
                         # No decision in time, for whatever reason: answer while the client still waits.
                         self.clients.log.error("answer overdue", inv=held.invocation_id)
@@ -169,7 +170,7 @@
         if self.pending or self.final_answer_queued or self.reader.started and self.reader.begun:
             return BUSY
         return (
-            IDLE if self.reader.started else STARTING if self.reader.begun or self.reader.wishes else SILENT
+            IDLE if self.reader.started else STARTING if self.reader.begun or self.reader.wishes else UNUSED
         )
 
     def take_answers(self):
@@ -221,7 +222,7 @@
     def handle_query(self, sql):
         """The encoded answer, or (Held, invocation id) for an invocation that was started.
 
-        Raises pg.BadMessage after BAD_IN_A_ROW consecutive statements that could not be read."""
+        Raises pg.BadMessage after MAX_CONSECUTIVE_ERRORS consecutive statements that could not be read."""
         if not sql.strip(b" \t\r\n;"):
             return pg.EMPTY + pg.READY
         try:
@@ -229,7 +230,7 @@
         except pg.BadMessage as error:
             self.clients.turned_away[error.code.decode()] += 1
             self.consecutive_errors += 1
-            if self.consecutive_errors >= BAD_IN_A_ROW:
+            if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
                 raise pg.BadMessage(error.code, error.why, True) from None
             return pg.error(error.code, error.why) + pg.READY
 
