--- a/gannetfront/wire/http.py
+++ b/gannetfront/wire/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 without I/O: bytes in, whole requests or answers out (RFC 9112; parsing by httptools).
+"""HTTP/1.1 codec without I/O: turns bytes into complete requests or answers (RFC 9112; httptools parses).
 
-Headers are lists of (lower-case name, value) in bytes. The reader of a request bounds its line, headers and body; the
-reader of an answer says whether its connection may carry another.
+Headers are lists of (lower-case name, value) in bytes. The request reader limits the size of the request line, the
+headers and the body; the answer reader determines whether the connection can be reused.
 """
 
 from http import HTTPStatus
@@ -10,8 +10,8 @@
 
 from . import BadAnswer
 
-# RFC 9110 7.6.1, and what each hop sets for itself.
-HOP = {
+# Hop-by-hop headers (RFC 9110 7.6.1), and those that each hop sets for itself.
+HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -26,7 +26,7 @@
 
 
 class BadRequest(Exception):
-    """A request that cannot be taken: answered with `status`, then the connection closes."""
+    """A rejected request: it is answered with `status` and the text `why`, then the connection is closed."""
 
     def __init__(self, status, why):
         super().__init__(why)
@@ -34,74 +34,79 @@
 
 
 class RequestReader:
-    """`feed(bytes)`; whole requests wait in `ready` as (method, path, headers, body, keep). `begun` is True while a
-    request is part read, `wants_continue` once where its client waits for '100 Continue'. `ahead` is a place for bytes that are
-    not to be read yet."""
+    """Parses requests from the bytes given to `feed`.
+
+    Attributes:
+        ready: the complete requests as (method, path, headers, body, keep-alive).
+        begun: whether a request is partly read.
+        wants_continue: whether the client waits for '100 Continue'; whoever sends that resets it.
+        ahead: storage for the caller's bytes that are to be fed later.
+    """
 
     def __init__(self, header_limit, body_limit):
         self.header_limit, self.body_limit = header_limit, body_limit
-        self.ready, self.begun, self.wants_continue, self.in_head, self.size = [], False, False, True, 0
-        self.trouble, self.ahead = None, b""
+        self.ready, self.begun, self.wants_continue, self.in_head, self.fed_size = [], False, False, True, 0
+        self.bad_request, self.ahead = None, b""
         self.parser = httptools.HttpRequestParser(self)
 
     def feed(self, data):
-        """Raises BadRequest for what breaks the protocol or a limit."""
+        """Parses `data`; raises BadRequest where it violates the protocol or a limit."""
         if not self.begun and data:
-            data = data.lstrip(b"\r\n")  # RFC 9112 2.2: empty lines before a request are no request
+            data = data.lstrip(b"\r\n")  # RFC 9112 2.2: empty lines before a request are ignored
             if not data:
                 return
         try:
-            if self.in_head and self.size + len(data) > 4096:
-                self.headed(data)
+            if self.in_head and self.fed_size + len(data) > 4096:
+                self.feed_head(data)
             else:
-                self.size += len(data) if self.in_head else 0
+                self.fed_size += len(data) if self.in_head else 0
                 self.begun = True
                 self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadRequest(400, "upgrades are not offered") from None
         except httptools.HttpParserError as error:
-            if self.trouble:
-                raise self.trouble from None
+            if self.bad_request:
+                raise self.bad_request from None
             raise BadRequest(400, f"not HTTP/1.1: {error}"[:200]) from None
 
-    def headed(self, data):
-        # In pieces no larger than what may still come, so that a header of any size is met at its limit.
-        for at in range(0, len(data), 4096):
-            piece = data[at : at + 4096]
-            if self.in_head and self.size + len(piece) > self.header_limit + 4096:
+    def feed_head(self, data):
+        # Feeds pieces of 4096 bytes, so that an oversized head is rejected soon after it exceeds the limit.
+        for offset in range(0, len(data), 4096):
+            piece = data[offset : offset + 4096]
+            if self.in_head and self.fed_size + len(piece) > self.header_limit + 4096:
                 raise BadRequest(431, f"line and headers past {self.header_limit} bytes")
             if self.in_head:
-                self.size += len(piece)
+                self.fed_size += len(piece)
                 self.begun = True
             self.parser.feed_data(piece)
 
-    # what httptools calls; an exception raised in these reaches `feed` as HttpParserCallbackError
+    # Callbacks of httptools. An exception raised in them reaches `feed` as HttpParserCallbackError.
     def fail(self, status, why):
-        self.trouble = BadRequest(status, why)
-        raise self.trouble
+        self.bad_request = BadRequest(status, why)
+        raise self.bad_request
 
     def on_message_begin(self):
-        self.url, self.headers, self.body, self.held = b"", [], [], 0
+        self.url, self.headers, self.body, self.body_size = b"", [], [], 0
         self.begun = self.in_head = True
-        self.head = 0
+        self.head_size = 0
 
-    def grow(self, more):
-        self.head += more
-        if self.head > self.header_limit:
+    def count_head(self, size):
+        self.head_size += size
+        if self.head_size > self.header_limit:
             self.fail(431, f"line and headers past {self.header_limit} bytes")
 
     def on_url(self, url):
-        self.grow(len(url))
+        self.count_head(len(url))
         self.url += url
 
     def on_header(self, name, value):
-        self.grow(len(name) + len(value) + 4)
+        self.count_head(len(name) + len(value) + 4)
         self.headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self):
-        self.in_head, self.size = False, 0
+        self.in_head, self.fed_size = False, 0
         names = [name for name, _ in self.headers]
-        # Both, or two of either: what one hop reads as a body another reads as the next request.
+        # Both, or two of either, allow request smuggling: one hop reads as a body what another reads as a request.
         if b"transfer-encoding" in names and b"content-length" in names:
             self.fail(400, "both Content-Length and Transfer-Encoding")
         if self.parser.should_upgrade():
@@ -120,13 +125,13 @@
             self.wants_continue = True
 
     def on_body(self, data):
-        self.held += len(data)
-        if self.held > self.body_limit:
+        self.body_size += len(data)
+        if self.body_size > self.body_limit:
             self.fail(413, f"body past {self.body_limit} bytes")
         self.body.append(data)
 
     def on_message_complete(self):
-        self.begun, self.in_head, self.wants_continue, self.size = False, True, False, 0
+        self.begun, self.in_head, self.wants_continue, self.fed_size = False, True, False, 0
         self.ready.append(
             (
                 self.parser.get_method(),
@@ -139,22 +144,36 @@
 
 
 class AnswerReader:
-    """Reads one answer. After `whole`: `status`, `headers`, `body`; `reusable` says whether its connection is."""
+    """Parses one answer of at most `limit` bytes from the bytes given to `feed`.
+
+    Once `whole` is True, `status`, `headers` and `body` are set, and `reusable` tells whether the connection can
+    carry another request. `extra` is True where bytes followed the answer, or where
+    the caller sets it to prevent reuse.
+    """
 
     def __init__(self, limit):
-        self.limit, self.whole, self.extra, self.closes, self.seen = limit, False, False, False, 0
+        self.limit, self.whole, self.extra, self.ends_at_close, self.received_size = (
+            limit,
+            False,
+            False,
+            False,
+            0,
+        )
         self.status, self.headers, self.body, self.started = 0, [], b"", False
         self.parser = httptools.HttpResponseParser(self)
 
     def feed(self, data):
-        """Raises BadAnswer for what is no answer or past the limit; b'' is the peer's end."""
+        """Parses `data`; b'' means that the peer closed the connection.
+
+        Raises BadAnswer where the data is malformed or exceeds the limit.
+        """
         if not data:
-            if self.started and self.closes and not self.whole:
-                self.whole = True  # RFC 9112 6.3: without a length its end is the connection's
-                self.body = b"".join(self.parts)
+            if self.started and self.ends_at_close and not self.whole:
+                self.whole = True  # RFC 9112 6.3: without a length the body ends with the connection
+                self.body = b"".join(self.body_parts)
             return
-        self.seen += len(data)
-        if self.seen > self.limit:
+        self.received_size += len(data)
+        if self.received_size > self.limit:
             raise BadAnswer(f"past {self.limit} bytes")
         try:
             self.parser.feed_data(data)
@@ -165,58 +184,70 @@
 
     def on_message_begin(self):
         if self.whole:
-            self.extra = True  # more than was promised, or a second answer: nothing after it can be trusted
+            # More than the announced length, or a second answer: nothing after it can be trusted.
+            self.extra = True
         else:
-            self.started, self.fields, self.parts = False, [], []
+            self.started, self.received_headers, self.body_parts = False, [], []
 
     def on_header(self, name, value):
         if not self.whole:
-            self.fields.append((name.lower(), value.strip()))
+            self.received_headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self):
         if not self.whole:
-            self.started, self.status, self.headers = True, self.parser.get_status_code(), self.fields
+            self.started, self.status, self.headers = (
+                True,
+                self.parser.get_status_code(),
+                self.received_headers,
+            )
             names = {name for name, _ in self.headers}
-            self.closes = not names & {b"content-length", b"transfer-encoding"} and self.status not in (
+            self.ends_at_close = not names & {
+                b"content-length",
+                b"transfer-encoding",
+            } and self.status not in (
                 204,
                 304,
             )
 
     def on_body(self, data):
         if not self.whole:
-            self.parts.append(data)
+            self.body_parts.append(data)
 
     def on_message_complete(self):
         if not self.whole and self.status >= 200:
-            self.whole, self.body = True, b"".join(self.parts)
+            self.whole, self.body = True, b"".join(self.body_parts)
             self.keep = self.parser.should_keep_alive()
 
     @property
     def reusable(self):
-        return self.whole and not self.extra and not self.closes and self.keep
+        """Whether the connection can carry another request."""
+        return self.whole and not self.extra and not self.ends_at_close and self.keep
 
 
 def header(headers, name):
+    """The value of the first header called `name`, or None."""
     return next((value for key, value in headers if key == name), None)
 
 
 def carried(headers):
-    """The end-to-end headers: without those of one hop and those that `Connection` names."""
-    kept = [(k, v) for k, v in headers if k not in HOP]
+    """The end-to-end headers: all but the hop-by-hop headers and those that `Connection` names."""
+    end_to_end = [(k, v) for k, v in headers if k not in HOP_BY_HOP_HEADERS]
     for key, value in headers:
         if key == b"connection":
-            named = {x.strip().lower() for x in value.split(b",")}
-            kept = [(k, v) for k, v in kept if k not in named]
-    return kept
+            listed = {option.strip().lower() for option in value.split(b",")}
+            end_to_end = [(k, v) for k, v in end_to_end if k not in listed]
+    return end_to_end
 
 
 def request(path, host, headers, body, method=b"POST"):
+    """The bytes of a request; its length and Host header are added."""
     lines = [b"%s %s HTTP/1.1" % (method, path), b"host: " + host, b"content-length: %d" % len(body)]
     lines += [k + b": " + v for k, v in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 def answer(status, headers, body, keep=True):
+    """The bytes of an answer, with `Connection: close` unless `keep`; an answer with status 204 has no body."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
