--- a/gannetfront/proxy/clients.py
+++ b/gannetfront/proxy/clients.py
@@ -126,7 +126,7 @@
             return (*self.internal_page(url, keep), False, None)
         keep = keep and not self.stopping
         try:
-            operation, tenant_name, key, mark, patience = invocation.asked(
+            operation, tenant_name, key, mark, patience = invocation.parse_invocation(
                 method, url, headers, self.operations
             )
             verdict, tenant = self.admit(tenant_name, operation)
--- a/gannetfront/wire/invocation.py
+++ b/gannetfront/wire/invocation.py
@@ -32,7 +32,7 @@
 MAX_KEY_BYTES = 256  # for Gannet-Key and Idempotency-Key
 
 
-def asked(method, url, headers, operations):
+def parse_invocation(method, url, headers, operations):
     """Parses the request line and headers of an invocation.
 
     Returns (operation index, tenant or None, key or None, idempotency key or None, patience in ms or None);
@@ -63,7 +63,7 @@
     return operations[name], tenant, key_text, idempotency_key, patience
 
 
-def onward(headers):
+def forwarded_headers(headers):
     """The client's headers that are passed on to a node."""
     return [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
 
@@ -87,7 +87,7 @@
         (b"gannet-dispatch", b"%d" % seq),
         (b"gannet-time-limit-ms", b"%.0f" % limit),
     ]
-    return request(path, address.encode(), onward(headers) + proxy_headers, body)
+    return request(path, address.encode(), forwarded_headers(headers) + proxy_headers, body)
 
 
 class Reply(AnswerReader):
