--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -12,7 +12,12 @@
 class Membership:
     def __init__(self, mine, zones, log, chance):
         """`mine` is a checked Proxy with mates, itself among them; `zones` names of the fleet's. Raises ValueError."""
-        self.log, self.fleet, self.dropped, self.said = log, wire.fleet_of(mine.member_fleet), Counter(), {}
+        self.log, self.fleet, self.dropped, self.said = (
+            log,
+            wire.fleet_number(mine.member_fleet),
+            Counter(),
+            {},
+        )
         self.addresses = {mate.number: mate.address for mate in mine.mate}
         if len(self.addresses) < len(mine.mate):
             raise ValueError("mate: two of one number")
--- a/gannetfront/wire/members.py
+++ b/gannetfront/wire/members.py
@@ -8,7 +8,7 @@
 
 from .control_pb2 import Frame, Gossip
 
-VERSION, MOST = 1, 256  # protocol version; largest datagram in bytes
+VERSION, MAX_DATAGRAM_BYTES = 1, 256
 KIND_COUNT, STATE_COUNT = 4, 4
 
 
@@ -16,7 +16,7 @@
     """A datagram that is dropped. Its text is one word, the reason under which it is counted."""
 
 
-def fleet_of(name):
+def fleet_number(name):
     """The number of the fleet called `name`, by which datagrams of other fleets are recognized and dropped."""
     return xxhash.xxh32(name.encode()).intdigest()
 
@@ -39,7 +39,7 @@
 
 def body(data):
     """(name, message) of the frame in a datagram; the name is None for an unknown body. Raises Bad."""
-    if len(data) > MOST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Bad("long")
     frame = Frame()
     try:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -219,7 +219,7 @@
             if name == "lease" and told.kind < 2:
                 # Of another fleet, cut short, and random: none of it is an elector's word.
                 said = lease.pack(
-                    members.fleet_of("another"), taken, "seal", ("accepted", tuple(told.ballot))
+                    members.fleet_number("another"), taken, "seal", ("accepted", tuple(told.ballot))
                 )
                 for wrong in (said, said[:-3], b"\xff" * 40):
                     port.send(sender, wrong)
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -19,7 +19,7 @@
 from gannetfront.tenants import kept
 from gannetfront.tenants.views import View
 from gannetfront.wire import duties as wire
-from gannetfront.wire.members import MOST, Bad, body
+from gannetfront.wire.members import MAX_DATAGRAM_BYTES, Bad, body
 from rig import Log
 
 NUMBER = st.integers(0, 2**48)
@@ -40,7 +40,11 @@
 def test_words_come_as_they_were_sent(message):
     data = wire.pack(7, 3, "a-duty", message)
     name, told = body(data)
-    assert len(data) <= MOST and name == "lease" and wire.unpack(7, told, range(9)) == (3, "a-duty", message)
+    assert (
+        len(data) <= MAX_DATAGRAM_BYTES
+        and name == "lease"
+        and wire.unpack(7, told, range(9)) == (3, "a-duty", message)
+    )
     for fleet, members, why in ((8, range(9), "fleet"), (7, range(2), "stranger")):
         with pytest.raises(Bad, match=why):
             wire.unpack(fleet, told, members)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -48,7 +48,7 @@
     town.kill(0)
     town.run(40 * PERIOD)
     per_period = max(town.sent.values()) / 40
-    assert per_period < 4.0 and town.bytes <= wire.MOST
+    assert per_period < 4.0 and town.bytes <= wire.MAX_DATAGRAM_BYTES
 
 
 def test_a_member_that_restarts_without_stored_state_is_alive_again():
@@ -172,7 +172,7 @@
 @given(MESSAGES, st.integers(0, 99))
 def test_what_is_packed_is_unpacked(message, source):
     data = wire.pack(7, source, message)
-    assert len(data) <= wire.MOST and wire.unpack(7, data, range(100)) == (source, message)
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.unpack(7, data, range(100)) == (source, message)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -210,7 +210,7 @@
     )
     membership = Membership(load.parse(schema.Proxy, text, "p"), ["a", "b"], Log(), Jitter(1))
     greenlets = [host.spawn(membership.run), host.spawn(membership.hear)]
-    fleet, ping = wire.fleet_of("fleet"), (0, 1, None, [])
+    fleet, ping = wire.fleet_number("fleet"), (0, 1, None, [])
     sent = [
         (other, b"nonsense"),
         (other, wire.pack(fleet + 1, 1, ping)),
