--- a/bench/release.py
+++ b/bench/release.py
@@ -27,7 +27,7 @@
 from gannetfront.release.serve import Controller
 from gannetfront.release.store import Store
 from gannetfront.wire import control_pb2 as c, frames, http
-from gannetfront.wire.asking import ask, asked
+from gannetfront.wire.asking import ask, receive_request
 
 ROOT = Path(__file__).parents[1]
 FLEET = """zone: "a"
@@ -68,7 +68,7 @@
     def node(stream):
         reader = http.RequestReader(16384, 65536)
         try:
-            while request := asked(stream, reader, 60000):
+            while request := receive_request(stream, reader, 60000):
                 ran(request[2])
                 stream.send(http.answer(200, [], b"done"), 1000)
         except (OSError, host.Timeout, http.BadRequest):
--- a/gannetfront/day/platform.py
+++ b/gannetfront/day/platform.py
@@ -10,7 +10,7 @@
 from .. import host
 from ..release.store import Store
 from ..wire import http
-from ..wire.asking import ask, asked
+from ..wire.asking import ask, receive_request
 
 SECRET = "a day's secret, of enough bytes"
 AGAIN = 3000.0  # ms until a delivery comes once more
@@ -150,7 +150,7 @@
 
     def receive(self, stream):
         try:
-            request = asked(stream, http.RequestReader(16384, 65536), 2000)
+            request = receive_request(stream, http.RequestReader(16384, 65536), 2000)
             if request is None:
                 return
             _, _, headers, body, _ = request
--- a/gannetfront/kitchen/serve.py
+++ b/gannetfront/kitchen/serve.py
@@ -9,7 +9,7 @@
 from ..records import Table
 from ..proxy.links import Epochs, StreamLink
 from ..wire import control_pb2 as c, frames, http
-from ..wire.asking import asked
+from ..wire.asking import receive_request
 from .fleet import Fleet, Place, served_row
 from .model import REFUSED, TAKEN, TOPPLED, Job
 
@@ -324,7 +324,7 @@
 
         def handle(stream):
             try:
-                if asked(stream, http.RequestReader(8192, 8192), 5000):
+                if receive_request(stream, http.RequestReader(8192, 8192), 5000):
                     stream.send(
                         http.answer(
                             200,
--- a/gannetfront/release/serve.py
+++ b/gannetfront/release/serve.py
@@ -11,7 +11,7 @@
 from .. import host
 from ..interface import FULL, MOOT, SUCCEEDED
 from ..wire import control_pb2 as c, frames, http
-from ..wire.asking import asked
+from ..wire.asking import receive_request
 from . import outbox, webhooks
 from .stages import Stages
 from .store import Fenced
@@ -268,7 +268,9 @@
         names to webhooks.Pipeline; `tolerance` of timestamps in seconds. The answer is sent after the
         delivery is on disk."""
         try:
-            request = asked(stream, http.RequestReader(16384, webhooks.MAX_BODY_BYTES), self.webhook_timeout)
+            request = receive_request(
+                stream, http.RequestReader(16384, webhooks.MAX_BODY_BYTES), self.webhook_timeout
+            )
             if request is None:
                 return
             method, url, headers, body, _ = request
--- a/gannetfront/wire/asking.py
+++ b/gannetfront/wire/asking.py
@@ -46,7 +46,7 @@
     return reader.whole
 
 
-def asked(stream, reader, limit):
+def receive_request(stream, reader, limit):
     """The next request on `stream` as http.RequestReader returns it, or None where the peer closed the connection.
 
     The limit of `limit` ms applies to the whole request, so a peer that sends a byte now and then cannot keep the
