--- a/gannetfront/wire/http.py
+++ b/gannetfront/wire/http.py
@@ -45,8 +45,13 @@
 
     def __init__(self, header_limit, body_limit):
         self.header_limit, self.body_limit = header_limit, body_limit
-        self.ready, self.begun, self.wants_continue, self.in_head, self.fed_size = [], False, False, True, 0
-        self.bad_request, self.ahead = None, b""
+        self.ready = []
+        self.begun = False
+        self.wants_continue = False
+        self.in_head = True
+        self.fed_size = 0
+        self.bad_request = None
+        self.ahead = b""
         self.parser = httptools.HttpRequestParser(self)
 
     def feed(self, data):
@@ -131,7 +136,10 @@
         self.body.append(data)
 
     def on_message_complete(self):
-        self.begun, self.in_head, self.wants_continue, self.fed_size = False, True, False, 0
+        self.begun = False
+        self.in_head = True
+        self.wants_continue = False
+        self.fed_size = 0
         self.ready.append(
             (
                 self.parser.get_method(),
@@ -152,13 +160,11 @@
     """
 
     def __init__(self, limit):
-        self.limit, self.whole, self.extra, self.ends_at_close, self.received_size = (
-            limit,
-            False,
-            False,
-            False,
-            0,
-        )
+        self.limit = limit
+        self.whole = False
+        self.extra = False
+        self.ends_at_close = False
+        self.received_size = 0
         self.status, self.headers, self.body, self.started = 0, [], b"", False
         self.parser = httptools.HttpResponseParser(self)
 
@@ -195,11 +201,9 @@
 
     def on_headers_complete(self):
         if not self.whole:
-            self.started, self.status, self.headers = (
-                True,
-                self.parser.get_status_code(),
-                self.received_headers,
-            )
+            self.started = True
+            self.status = self.parser.get_status_code()
+            self.headers = self.received_headers
             names = {name for name, _ in self.headers}
             self.ends_at_close = not names & {
                 b"content-length",
