--- a/bench/sidebyside.py
+++ b/bench/sidebyside.py
@@ -66,11 +66,13 @@
                 pool = pools.pool_for(addr)
                 up, _ = pool.acquire(1000.0)
                 answer = http.AnswerReader(1 << 20)
-                up.send(http.request(path, addr.encode(), http.carried(headers), body))
+                up.send(http.request(path, addr.encode(), http.end_to_end_headers(headers), body))
                 while not answer.whole:
                     answer.feed(up.recv(65536))
                 pool.release(up, answer.reusable)
-                stream.send(http.answer(answer.status, http.carried(answer.headers), answer.body, keep))
+                stream.send(
+                    http.answer(answer.status, http.end_to_end_headers(answer.headers), answer.body, keep)
+                )
         except OSError:
             pass
 
--- a/gannetfront/wire/http.py
+++ b/gannetfront/wire/http.py
@@ -233,7 +233,7 @@
     return next((value for key, value in headers if key == name), None)
 
 
-def carried(headers):
+def end_to_end_headers(headers):
     """The end-to-end headers: all but the hop-by-hop headers and those that `Connection` names."""
     end_to_end = [(k, v) for k, v in headers if k not in HOP_BY_HOP_HEADERS]
     for key, value in headers:
--- a/gannetfront/wire/invocation.py
+++ b/gannetfront/wire/invocation.py
@@ -17,7 +17,7 @@
 from math import ceil, isfinite
 
 from ..interface import ERROR, FULL, SUCCEEDED
-from .http import AnswerReader, BadRequest, answer, carried, header, request
+from .http import AnswerReader, BadRequest, answer, end_to_end_headers, header, request
 
 # Headers that are meant for one hop only: the proxy does not forward them between clients and nodes.
 UNFORWARDED_HEADERS = {
@@ -65,7 +65,7 @@
 
 def forwarded_headers(headers):
     """The client's headers that are passed on to a node."""
-    return [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
+    return [(name, value) for name, value in end_to_end_headers(headers) if name not in UNFORWARDED_HEADERS]
 
 
 def name_of(content):
@@ -121,7 +121,9 @@
 
 def succeeded(status, headers, body, keep):
     """The bytes of an answer with a node's result; the connection closes after it unless `keep`."""
-    passed_on = [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
+    passed_on = [
+        (name, value) for name, value in end_to_end_headers(headers) if name not in UNFORWARDED_HEADERS
+    ]
     return answer(status, passed_on + [(b"gannet-answer", b"succeeded")], body, keep)
 
 
