--- a/gannetfront/proxy/members.py
+++ b/gannetfront/proxy/members.py
@@ -21,7 +21,7 @@
 
         Raises ValueError for a number given twice, a list without this proxy, a bad address or zone."""
         self.log = log
-        self.fleet = wire.fleet_of(mine.member_fleet)
+        self.fleet = wire.fleet_number(mine.member_fleet)
         self.dropped = Counter()
         self.reported = {}
         self.addresses = {mate.number: mate.address for mate in mine.mate}
--- a/gannetfront/wire/invocation.py
+++ b/gannetfront/wire/invocation.py
@@ -17,7 +17,7 @@
 from math import ceil, isfinite
 
 from ..interface import ERROR, FULL, SUCCEEDED
-from .http import AnswerReader, BadRequest, answer, carried, header, request
+from .http import AnswerReader, BadRequest, answer, end_to_end_headers, header, request
 
 # Headers that are meant for one hop only: the proxy does not forward them between clients and nodes.
 UNFORWARDED_HEADERS = {
@@ -32,7 +32,7 @@
 MAX_KEY_BYTES = 256  # for Gannet-Key and Idempotency-Key
 
 
-def asked(method, url, headers, operations):
+def parse_invocation(method, url, headers, operations):
     """Parses the request line and headers of an invocation.
 
     Returns (operation index, tenant or None, key or None, idempotency key or None, patience in ms or None);
@@ -63,9 +63,9 @@
     return operations[name], tenant, key_text, idempotency_key, patience
 
 
-def onward(headers):
+def forwarded_headers(headers):
     """The client's headers that are passed on to a node."""
-    return [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
+    return [(name, value) for name, value in end_to_end_headers(headers) if name not in UNFORWARDED_HEADERS]
 
 
 def name_of(content):
@@ -87,7 +87,7 @@
         (b"gannet-dispatch", b"%d" % seq),
         (b"gannet-time-limit-ms", b"%.0f" % limit),
     ]
-    return request(path, address.encode(), onward(headers) + proxy_headers, body)
+    return request(path, address.encode(), forwarded_headers(headers) + proxy_headers, body)
 
 
 class Reply(AnswerReader):
@@ -121,7 +121,9 @@
 
 def succeeded(status, headers, body, keep):
     """The bytes of an answer with a node's result; the connection closes after it unless `keep`."""
-    passed_on = [(name, value) for name, value in carried(headers) if name not in UNFORWARDED_HEADERS]
+    passed_on = [
+        (name, value) for name, value in end_to_end_headers(headers) if name not in UNFORWARDED_HEADERS
+    ]
     return answer(status, passed_on + [(b"gannet-answer", b"succeeded")], body, keep)
 
 
