--- a/gannetfront/duties/returning.py
+++ b/gannetfront/duties/returning.py
@@ -131,7 +131,7 @@
             try:
                 self.keep(self.file, step, token, ACT_TIMEOUT)
             except host.Timeout:
-                raise OSError("disk did not confirm the write in time") from None
+                raise OSError("its disk does not answer") from None
             self.token = token
         self.sites.shedding.on_orders(
             host.now(), dict(zip(self.site_names, unpack_step(step, len(self.site_names))[1]))
@@ -147,5 +147,5 @@
         try:
             delivered.wait(ORDER_TIMEOUT)
         except host.Timeout:
-            return False, "not delivered to all proxies yet; check the duty's status"
-        return True, f"{site}: delivered to all live proxies"
+            return False, "not told to all yet: look at its status"
+        return True, f"{site}: told to all that are there"
--- a/gannetfront/release/stages.py
+++ b/gannetfront/release/stages.py
@@ -232,25 +232,25 @@
 
     def to_offer(self, build, by, why):
         if build <= self.version or build in self.queue:
-            return False, f"build {build} is not newer than the current build, or is queued already"
+            return False, f"build {build} is not newer than what was offered before"
         self.offered(build)
         return True, f"build {build} is offered"
 
     def to_hold(self, build, by, why):
         self.hold = [by, why]
-        return True, "promotion is on hold until it is resumed"
+        return True, "no stage moves on until it is resumed"
 
     def to_resume(self, build, by, why):
         if not self.hold:
-            return False, "promotion is not on hold"
+            return False, "nothing is on hold"
         self.hold = None
-        return True, "promotion is resumed"
+        return True, "stages move on again"
 
     def to_back(self, build, by, why):
         if build != self.version or self.phase not in (TRIAL, RELEASED) or self.version < 2:
-            return False, f"build {build} is neither on trial nor the released build"
+            return False, f"build {build} is neither on trial nor the one released"
         self.roll_back(f"{by}: {why}")
-        return True, f"build {build} is being rolled back"
+        return True, f"build {build} goes back"
 
     # ---- presence of the proxies ----
 
