--- a/gannetfront/edge/clients.py
+++ b/gannetfront/edge/clients.py
@@ -79,7 +79,8 @@
         self.clients = clients
         self.stream = stream
         self.reader = pg.ClientReader()
-        self.pending = deque()  # encoded answers, and (Held, invocation id) of invocations not yet answered
+        # Encoded answers, and (HeldInvocation, invocation id) of invocations not yet answered.
+        self.pending = deque()
         self.open_count = 0
         self.final_answer_queued = False
         self.drain_checked = False
@@ -220,7 +221,7 @@
             self.final_answer_queued = True
 
     def handle_query(self, sql):
-        """The encoded answer, or (Held, invocation id) for an invocation that was started.
+        """The encoded answer, or (HeldInvocation, invocation id) for an invocation that was started.
 
         Raises pg.BadMessage after MAX_CONSECUTIVE_ERRORS consecutive statements that could not be read."""
         if not sql.strip(b" \t\r\n;"):
